--- a/bitterntiller/components/entry/__init__.py
+++ b/bitterntiller/components/entry/__init__.py
@@ -3,16 +3,16 @@
 from typing import NamedTuple
 
 from bitterntiller.components.entry import const
-from bitterntiller.components.entry.answer_times import AnswerTimes
 from bitterntiller.components.entry.claiming import Claimant
 from bitterntiller.components.entry.context import Context
 from bitterntiller.components.entry.coordinator import EntryCoordinator
 from bitterntiller.components.entry.diagnostics import describe
-from bitterntiller.components.entry.interface import Interface
+from bitterntiller.components.entry.dialect import HttpDialect
 from bitterntiller.components.entry.owner_watch import OwnerWatch
 from bitterntiller.components.entry.quota import QuotaAccount
 from bitterntiller.components.entry.quota_client import QuotaClient
 from bitterntiller.components.entry.rate_limits import RateLimitCache
+from bitterntiller.components.entry.response_times import ResponseTimes
 from bitterntiller.components.entry.retry_budget import RetryBudget
 from bitterntiller.components.http.pool import ConnectionPool
 from bitterntiller.components.node.coordinator import NodeCoordinator
@@ -59,7 +59,7 @@
     runtime: Runtime,
     session: NodeCoordinator,
     owners: DerivedOwners,
-    interface: Interface,
+    dialect: HttpDialect,
     retries: RetryBounds,
     crashes: CrashWatch,
 ) -> EntryCoordinator:
@@ -74,10 +74,10 @@
     runtime.stack.push_async_callback(connections.async_close)
     views = (session.lease, session.config, owners, session.control_client)
     context = _make_context(runtime, *views)._replace(
-        interface=interface,
+        dialect=dialect,
         connections=connections,
         quota=client,
-        answer_times=AnswerTimes(),
+        response_times=ResponseTimes(),
         upstreams=session.upstreams,
         versions=session.versions,
         crashes=crashes,
--- a/bitterntiller/components/entry/account.py
+++ b/bitterntiller/components/entry/account.py
@@ -21,7 +21,7 @@
     context.metrics.count(f"{const.METRIC_REQUESTS}.{service}.{tier}.{ending.outcome}")
 
 
-def count_answer(context: Context, active: ActiveRequest, outcome: Outcome) -> None:
+def count_response(context: Context, active: ActiveRequest, outcome: Outcome) -> None:
     """Count a request that was sent: outcome, times, tokens, goodput, waste."""
     identified = active.prepared.identified
     metrics = context.metrics
--- a/bitterntiller/components/entry/attempt.py
+++ b/bitterntiller/components/entry/attempt.py
@@ -7,9 +7,9 @@
 from bitterntiller.components.entry.admission_checks import quarantine_ending
 from bitterntiller.components.entry.claiming import Claimant
 from bitterntiller.components.entry.context import Context
-from bitterntiller.components.entry.event_logging import log_answer, log_sending
+from bitterntiller.components.entry.dialect import ResponseClass
+from bitterntiller.components.entry.event_logging import log_response, log_sending
 from bitterntiller.components.entry.identify import withdrawn
-from bitterntiller.components.entry.interface import Finding
 from bitterntiller.components.entry.limit_reports import async_report_limit
 from bitterntiller.components.entry.models import (
     ActiveRequest,
@@ -19,7 +19,7 @@
     Retry,
     Verdict,
 )
-from bitterntiller.components.entry.relay import LOST_ANSWER, Relay
+from bitterntiller.components.entry.relay import LOST_RESPONSE, Relay
 from bitterntiller.components.entry.send_checks import (
     LAPSED_LEASE,
     lapsed,
@@ -175,24 +175,24 @@
             head, finding = await self._async_head(client)
         except BrokenAnswerError as error:
             return await self._async_lost_head(error)
-        active.load = self._context.interface.load(head)
-        active.rate_limit = self._context.interface.rate_limit(head)
+        active.load = self._context.dialect.load(head)
+        active.rate_limit = self._context.dialect.rate_limit(head)
         now = self._context.clock.now()
-        log_answer(active, head.status, finding, now)
-        if finding is not Finding.FOREIGN:
+        log_response(active, head.status, finding, now)
+        if finding is not ResponseClass.FOREIGN:
             await async_report_limit(self._context, active, grant, now)
-        if self._context.answer_times is not None and finding is Finding.ANSWER:
-            self._context.answer_times.note(active.pool, now - active.granted_at)
-        if finding is Finding.NOT_RUN:
+        if self._context.response_times is not None and finding is ResponseClass.ANSWER:
+            self._context.response_times.note(active.pool, now - active.granted_at)
+        if finding is ResponseClass.NOT_RUN:
             await _async_read_rest(client)
             return Retry(grant.upstream, NOT_ADMITTED)
-        if finding is Finding.FOREIGN:
+        if finding is ResponseClass.FOREIGN:
             error = BrokenAnswerError("the answer names another request")
             return await self._async_lost_head(error)
-        if finding is not Finding.ANSWER and self._repeats():
+        if finding is not ResponseClass.ANSWER and self._repeats():
             await _async_read_rest(client)
             return Retry(grant.upstream, FAILED, ran=True)
-        if finding is Finding.WITHHELD:
+        if finding is ResponseClass.WITHHELD:
             return _unknown(Reason.UPSTREAM_FAILED, BAD_GATEWAY)
         active.phase = Phase.RELAYING
         relay = Relay(self._exchange, active, self._context)
@@ -214,7 +214,7 @@
     ) -> None:
         active = self._active
         head = active.prepared.identified.received.head
-        headers = self._context.interface.request_headers(
+        headers = self._context.dialect.request_headers(
             active, grant, self._context.clock.now()
         )
         await client.async_request(
@@ -226,21 +226,23 @@
             close=not self._context.connections.keeps,
         )
 
-    async def _async_head(self, client: ClientExchange) -> tuple[ResponseHead, Finding]:
+    async def _async_head(
+        self, client: ClientExchange
+    ) -> tuple[ResponseHead, ResponseClass]:
         """Return the head of the own answer; raise BrokenAnswerError.
 
         On a kept connection a late answer to an earlier request may come first. It
         names that request; the own answer follows it.
         """
-        interface = self._context.interface
+        dialect = self._context.dialect
         timeout = self._first_byte_timeout()
         head = await client.async_head(timeout)
-        finding = interface.find(self._active, head)
-        if finding is Finding.FOREIGN:
-            self._context.metrics.count(const.METRIC_LATE_ANSWERS)
+        finding = dialect.classify_response(self._active, head)
+        if finding is ResponseClass.FOREIGN:
+            self._context.metrics.count(const.METRIC_LATE_RESPONSES)
             if client.kept and await client.async_skip():
                 head = await client.async_head(timeout)
-                finding = interface.find(self._active, head)
+                finding = dialect.classify_response(self._active, head)
         return head, finding
 
     async def _async_relayed(self, verdict: RelayResult | Retry) -> Verdict:
@@ -264,7 +266,7 @@
 
         The caller of a cut answer sees the cut only after this filter has ended.
         """
-        cancel = self._context.interface.async_cancel_work
+        cancel = self._context.dialect.async_cancel_work
         await curio.spawn(cancel, self._active, daemon=True)
 
     async def _async_started(self, grant: GrantReceived) -> None:
@@ -296,10 +298,10 @@
         elsewhere, and its time depends on its prompt; it waits by its objective.
         """
         longest = max(const.PATIENCE_OBJECTIVES * route.objective, const.LEAST_PATIENCE)
-        times = self._context.answer_times
+        times = self._context.response_times
         if route.streams or times is None:
             return longest
-        patience = times.patience(self._active.pool, route.objective)
+        patience = times.attempt_timeout(self._active.pool, route.objective)
         return longest if patience is None else min(patience, longest)
 
     async def _async_lost_head(self, error: BrokenAnswerError) -> Verdict:
@@ -313,7 +315,7 @@
         late = self._context.clock.now() >= active.prepared.identified.deadline
         if self._repeats() and not late:
             await self._async_cancel_soon()
-            return Retry(active.upstream, LOST_ANSWER, ran=True)
+            return Retry(active.upstream, LOST_RESPONSE, ran=True)
         own_stream = active.prepared.estimate.streamed and active.route is None
         if own_stream and not late:
             relayed = await self._async_resume_from_start()
@@ -337,7 +339,7 @@
     if isinstance(verdict, RelayResult):
         return not verdict.whole
     if isinstance(verdict, Retry):
-        return verdict.reason == LOST_ANSWER
+        return verdict.reason == LOST_RESPONSE
     return isinstance(verdict, Ending) and verdict.reason in _BROKEN_ANSWERS
 
 
--- a/bitterntiller/components/entry/context.py
+++ b/bitterntiller/components/entry/context.py
@@ -4,12 +4,12 @@
 from typing import NamedTuple, Protocol
 
 from bitterntiller.components.config.models import Workspace
-from bitterntiller.components.entry.answer_times import AnswerTimes
-from bitterntiller.components.entry.interface import Interface
-from bitterntiller.components.entry.native import NativeInterface
+from bitterntiller.components.entry.dialect import HttpDialect
+from bitterntiller.components.entry.native_dialect import NativeDialect
 from bitterntiller.components.entry.quota import Hold
 from bitterntiller.components.entry.quota_client import QuotaRequest, QuotaVerdict
 from bitterntiller.components.entry.rate_limits import RateLimitCache
+from bitterntiller.components.entry.response_times import ResponseTimes
 from bitterntiller.components.http.pool import ConnectionPool
 from bitterntiller.components.settings.models import Timings
 from bitterntiller.core.clock import Clock, RuntimeClock
@@ -80,10 +80,10 @@
     config: ConfigView
     directory: DirectoryView
     control: ControlCalls
-    interface: Interface = NativeInterface()
+    dialect: HttpDialect = NativeDialect()
     connections: ConnectionPool = UNKEPT
     quota: QuotaGate | None = None
-    answer_times: AnswerTimes | None = None
+    response_times: ResponseTimes | None = None
     upstreams: DepartedView | None = None
     crashes: CrashWatch | None = None
     rate_limits: RateLimitCache = NO_CACHE
--- a/bitterntiller/components/entry/interface.py
+++ b/bitterntiller/components/entry/dialect.py
@@ -20,7 +20,7 @@
 from bitterntiller.core.outcomes import Ending
 
 
-class Finding(StrEnum):
+class ResponseClass(StrEnum):
     """What the head of an upstream's answer means for its request.
 
     ANSWER: it is to be relayed. NOT_RUN: the upstream's word that it did not run the
@@ -36,7 +36,7 @@
     FOREIGN = "foreign"
 
 
-class Interface(Protocol):
+class HttpDialect(Protocol):
     """The conversation of an entry host with callers and upstreams."""
 
     def receive(self, head: RequestHead, now: float) -> Received | Ending:
@@ -53,7 +53,9 @@
         """Return the headers of the request to the upstream of a grant."""
         ...
 
-    def find(self, active: ActiveRequest, head: ResponseHead) -> Finding:
+    def classify_response(
+        self, active: ActiveRequest, head: ResponseHead
+    ) -> ResponseClass:
         """Tell what the head of an upstream's answer means."""
         ...
 
@@ -69,7 +71,7 @@
         """
         ...
 
-    def answer_headers(self, active: ActiveRequest, head: ResponseHead) -> Headers:
+    def response_headers(self, active: ActiveRequest, head: ResponseHead) -> Headers:
         """Return the headers of a relayed answer."""
         ...
 
--- a/bitterntiller/components/entry/event_logging.py
+++ b/bitterntiller/components/entry/event_logging.py
@@ -2,7 +2,7 @@
 
 from bitterntiller.components.crashes.fingerprint import shown
 from bitterntiller.components.entry.context import Context
-from bitterntiller.components.entry.interface import Finding
+from bitterntiller.components.entry.dialect import ResponseClass
 from bitterntiller.components.entry.models import (
     ActiveRequest,
     GrantReceived,
@@ -66,8 +66,8 @@
     )
 
 
-def log_answer(
-    active: ActiveRequest, status: int, finding: Finding, now: float
+def log_response(
+    active: ActiveRequest, status: int, finding: ResponseClass, now: float
 ) -> None:
     """Log the head of an answer, and what it was taken for."""
     events.emit(
--- a/bitterntiller/components/entry/native.py
+++ b/bitterntiller/components/entry/native_dialect.py
@@ -1,8 +1,8 @@
 """The project's own interface towards callers and upstreams."""
 
 from bitterntiller.components.entry import const
+from bitterntiller.components.entry.dialect import ResponseClass
 from bitterntiller.components.entry.estimate import estimate
-from bitterntiller.components.entry.interface import Finding
 from bitterntiller.components.entry.models import (
     ActiveRequest,
     Estimate,
@@ -14,10 +14,10 @@
 from bitterntiller.components.entry.rate_limits import parse_rate
 from bitterntiller.components.entry.receive import receive
 from bitterntiller.components.entry.refuse import refusal_body, refusal_headers
-from bitterntiller.components.entry.relay_headers import answer_headers
+from bitterntiller.components.entry.relay_headers import response_headers
 from bitterntiller.components.entry.upstream_calls import (
     async_cancel_work,
-    echoes,
+    matches_request,
     request_headers,
 )
 from bitterntiller.components.http.models import (
@@ -32,7 +32,7 @@
 NOT_ADMITTED_VALUE = "false"
 
 
-class NativeInterface:
+class NativeDialect:
     """See docs/OPERATING.md and docs/UPSTREAMS.md for the headers; an Interface."""
 
     def receive(self, head: RequestHead, now: float) -> Received | Ending:
@@ -49,13 +49,15 @@
         """Return the headers of the request to the upstream of a grant."""
         return request_headers(active)
 
-    def find(self, active: ActiveRequest, head: ResponseHead) -> Finding:
+    def classify_response(
+        self, active: ActiveRequest, head: ResponseHead
+    ) -> ResponseClass:
         """Tell what the head of an upstream's answer means."""
-        if not echoes(active, head):
-            return Finding.FOREIGN
+        if not matches_request(active, head):
+            return ResponseClass.FOREIGN
         if _not_admitted(head):
-            return Finding.NOT_RUN
-        return Finding.ANSWER
+            return ResponseClass.NOT_RUN
+        return ResponseClass.ANSWER
 
     def load(self, head: ResponseHead) -> ReportedLoad | None:
         """Return None: upstreams tell their load in announcements."""
@@ -65,9 +67,9 @@
         """Return the limit in requests a second that an answer names, if it does."""
         return parse_rate(header(head.headers, const.HEADER_RATE_LIMIT))
 
-    def answer_headers(self, active: ActiveRequest, head: ResponseHead) -> Headers:
+    def response_headers(self, active: ActiveRequest, head: ResponseHead) -> Headers:
         """Return the headers of a relayed answer."""
-        return answer_headers(active, head)
+        return response_headers(active, head)
 
     def refusal(self, ending: Ending, request_id: str) -> tuple[Headers, bytes]:
         """Return headers and body of an answer that no upstream gave."""
--- a/bitterntiller/components/entry/pipeline.py
+++ b/bitterntiller/components/entry/pipeline.py
@@ -69,7 +69,7 @@
 
     async def async_serve(self, exchange: Exchange) -> None:
         """Answer one request."""
-        received = self._context.interface.receive(
+        received = self._context.dialect.receive(
             exchange.head, self._context.clock.now()
         )
         if isinstance(received, Ending):
@@ -113,7 +113,7 @@
     async def _async_with_body(
         self, exchange: Exchange, identified: Identified, body: bytes
     ) -> None:
-        work = self._context.interface.estimate(identified, body)
+        work = self._context.dialect.estimate(identified, body)
         active = ActiveRequest(Prepared(identified, body, work))
         refused = self._admission.check_quarantine(active)
         if refused is not None:
@@ -261,7 +261,7 @@
     async def _async_account(
         self, active: ActiveRequest, outcome: Outcome, status: int
     ) -> None:
-        account.count_answer(self._context, active, outcome)
+        account.count_response(self._context, active, outcome)
         log_end(active, outcome, status, self._context.clock.now())
         await self._async_settle(active, outcome, status)
         told = account.outcome_for_owner(outcome, status)
@@ -279,8 +279,8 @@
             await async_cancel(active, self._context)
             return
         active.phase = Phase.ENDED
-        await self._context.interface.async_cancel_work(active)
-        account.count_answer(self._context, active, Outcome.UNKNOWN)
+        await self._context.dialect.async_cancel_work(active)
+        account.count_response(self._context, active, Outcome.UNKNOWN)
         await self._async_settle(active, Outcome.UNKNOWN, 0)
         await account.async_tell_owner(self._context, active, outcome)
 
@@ -292,7 +292,7 @@
             self._context.metrics.count(const.METRIC_CUT)
             await exchange.async_cut()
             return
-        headers, body = self._context.interface.refusal(ending, active.request_id)
+        headers, body = self._context.dialect.refusal(ending, active.request_id)
         await exchange.async_respond(ending.status, headers, body)
 
     async def _async_refuse(
@@ -304,7 +304,7 @@
     ) -> None:
         account.count_refusal(self._context, ending, identified)
         log_refusal(self._context, ending, identified, request_id)
-        headers, body = self._context.interface.refusal(ending, request_id)
+        headers, body = self._context.dialect.refusal(ending, request_id)
         await exchange.async_respond(ending.status, headers, body)
 
 
--- a/bitterntiller/components/entry/relay.py
+++ b/bitterntiller/components/entry/relay.py
@@ -24,7 +24,7 @@
 from bitterntiller.components.http.exchange import Exchange
 from bitterntiller.components.http.models import ResponseHead
 
-LOST_ANSWER = "lost-answer"
+LOST_RESPONSE = "lost-answer"
 
 
 class Relay:
@@ -51,7 +51,7 @@
         if self._active.route is not None and not streams:
             return await self._async_buffered(client, head)
         if not self._exchange.started:
-            headers = self._context.interface.answer_headers(self._active, head)
+            headers = self._context.dialect.response_headers(self._active, head)
             await self._exchange.async_start(head.status, headers)
         await client.async_guard(self._silence())
         if streams and not self._bodyless:
@@ -59,7 +59,7 @@
         else:
             whole = await self._async_body(client)
         if not whole and self._active.repeatable and self._resumable():
-            return Retry(self._active.upstream, LOST_ANSWER, ran=True)
+            return Retry(self._active.upstream, LOST_RESPONSE, ran=True)
         await self._async_end(whole)
         return RelayResult(whole, head.status)
 
@@ -100,9 +100,9 @@
                 if size > const.BUFFERED_BYTES:
                     return await self._async_unbuffered(client, head, parts)
         except BrokenAnswerError:
-            return Retry(self._active.upstream, LOST_ANSWER, ran=True)
+            return Retry(self._active.upstream, LOST_RESPONSE, ran=True)
         self._note_first_byte()
-        headers = self._context.interface.answer_headers(self._active, head)
+        headers = self._context.dialect.response_headers(self._active, head)
         headers = [item for item in headers if item[0] != b"content-length"]
         await self._exchange.async_respond(head.status, headers, b"".join(parts))
         return RelayResult(True, head.status)
@@ -110,7 +110,7 @@
     async def _async_unbuffered(
         self, client: ClientExchange, head: ResponseHead, parts: list[bytes]
     ) -> RelayResult:
-        headers = self._context.interface.answer_headers(self._active, head)
+        headers = self._context.dialect.response_headers(self._active, head)
         await self._exchange.async_start(head.status, headers)
         self._note_first_byte()
         await self._exchange.async_send(b"".join(parts))
--- a/bitterntiller/components/entry/relay_headers.py
+++ b/bitterntiller/components/entry/relay_headers.py
@@ -28,7 +28,7 @@
     return [item for item in head.headers if item[0] not in dropped]
 
 
-def answer_headers(active: ActiveRequest, head: ResponseHead) -> Headers:
+def response_headers(active: ActiveRequest, head: ResponseHead) -> Headers:
     """Return the headers for the caller.
 
     The outcome stands for an answer that arrives whole; a cut one has none.
--- a/bitterntiller/components/entry/answer_times.py
+++ b/bitterntiller/components/entry/response_times.py
@@ -2,14 +2,14 @@
 
 import math
 
-GAIN = 0.05
+SMOOTHING = 0.05
 """Part by which one answer moves the mean: some twenty answers are remembered."""
 
-LEAST_ANSWERS = 20
+MIN_RESPONSES = 20
 """Answers of a service until its times are known."""
 
-LEAST_SECONDS = 0.001
-SPREADS = 2.0
+MIN_SECONDS = 0.001
+DEVIATIONS = 2.0
 """Mean deviations above the mean, in logarithms, that an answer may take: with usual
 times of answers, nineteen of twenty take less."""
 
@@ -25,14 +25,14 @@
         self.deviation = 0.0
 
     def note(self, seconds: float) -> None:
-        value = math.log(max(seconds, LEAST_SECONDS))
+        value = math.log(max(seconds, MIN_SECONDS))
         self.count += 1
-        gain = max(1 / self.count, GAIN)
+        gain = max(1 / self.count, SMOOTHING)
         self.deviation += gain * (abs(value - self.mean) - self.deviation)
         self.mean += gain * (value - self.mean)
 
 
-class AnswerTimes:
+class ResponseTimes:
     """The seconds to the head of an answer, by service, of answers that came."""
 
     def __init__(self) -> None:
@@ -42,20 +42,20 @@
         """Note the seconds after which a service answered."""
         self._times_by_service.setdefault(service, _Times()).note(seconds)
 
-    def usual(self, service: str) -> float | None:
+    def p95_estimate(self, service: str) -> float | None:
         """Return the seconds within which nearly all answers come, None if unknown."""
         times = self._times_by_service.get(service)
-        if times is None or times.count < LEAST_ANSWERS:
+        if times is None or times.count < MIN_RESPONSES:
             return None
-        return math.exp(times.mean + SPREADS * times.deviation)
+        return math.exp(times.mean + DEVIATIONS * times.deviation)
 
-    def patience(self, service: str, objective: float) -> float | None:
+    def attempt_timeout(self, service: str, objective: float) -> float | None:
         """Return how long to wait before a call is sent to another upstream as well.
 
         Long enough for nearly all answers, and so short that another upstream can
         still answer within the objective. None if the times aren't known.
         """
-        usual = self.usual(service)
-        if usual is None:
+        p95_estimate = self.p95_estimate(service)
+        if p95_estimate is None:
             return None
-        return max(usual, objective - usual)
+        return max(p95_estimate, objective - p95_estimate)
--- a/bitterntiller/components/entry/upstream_calls.py
+++ b/bitterntiller/components/entry/upstream_calls.py
@@ -18,7 +18,7 @@
     return kept
 
 
-def echoes(active: ActiveRequest, head: ResponseHead) -> bool:
+def matches_request(active: ActiveRequest, head: ResponseHead) -> bool:
     """Tell whether an answer names this request.
 
     An upstream that mixes up its answers, or a late answer to another request,
@@ -43,7 +43,7 @@
     try:
         await client.async_request("GET", target, headers, b"", timeout)
         head = await client.async_head(timeout)
-        if head.status == STATUS_OK and echoes(active, head):
+        if head.status == STATUS_OK and matches_request(active, head):
             return client
     except BrokenAnswerError:
         pass
--- a/tests/components/entry/test_rate_limits.py
+++ b/tests/components/entry/test_rate_limits.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from bitterntiller.components.entry.native import NativeInterface
+from bitterntiller.components.entry.native_dialect import NativeDialect
 from bitterntiller.components.http.models import ResponseHead
 
 
@@ -12,7 +12,7 @@
 )
 def test_limit_is_a_decimal_number(text, rate):
     head = ResponseHead(200, [(b"x-rate-limit", text)])
-    assert NativeInterface().rate_limit(head) == rate
+    assert NativeDialect().rate_limit(head) == rate
 
 
 @pytest.mark.parametrize(
@@ -33,8 +33,8 @@
 )
 def test_what_is_no_number_names_no_limit(text):
     head = ResponseHead(200, [(b"x-rate-limit", text)])
-    assert NativeInterface().rate_limit(head) is None
+    assert NativeDialect().rate_limit(head) is None
 
 
 def test_answer_without_the_header_names_no_limit():
-    assert NativeInterface().rate_limit(ResponseHead(200, [])) is None
+    assert NativeDialect().rate_limit(ResponseHead(200, [])) is None
--- a/tests/platform/builders.py
+++ b/tests/platform/builders.py
@@ -8,10 +8,10 @@
 from bitterntiller_platform.configuration import parse_configuration
 from bitterntiller_platform.interface import PlatformInterface
 
-from bitterntiller.components.entry.answer_times import AnswerTimes
 from bitterntiller.components.entry.claiming import Claimant
 from bitterntiller.components.entry.context import Context, QuotaGate
 from bitterntiller.components.entry.coordinator import EntryCoordinator
+from bitterntiller.components.entry.response_times import ResponseTimes
 from bitterntiller.components.http.pool import ConnectionPool
 from bitterntiller.components.node.models import Host
 from bitterntiller.components.settings.models import Limits, Timings
@@ -216,10 +216,10 @@
             config=_ConfigView(config),
             directory=_Directory(),
             control=fakes.FakeControl(),
-            interface=PlatformInterface(),
+            dialect=PlatformInterface(),
             connections=connections,
             quota=quota,
-            answer_times=AnswerTimes(),
+            response_times=ResponseTimes(),
         )
         coordinator = EntryCoordinator(context, Limits(), Claimant(context, "i1"))
         links.coordinator = coordinator
--- a/tests/platform/test_answers.py
+++ b/tests/platform/test_answers.py
@@ -6,9 +6,9 @@
 import curio
 import pytest
 
-from bitterntiller.components.entry.answer_times import LEAST_ANSWERS
 from bitterntiller.components.entry.quota import QuotaAccount
 from bitterntiller.components.entry.quota_client import QuotaClient
+from bitterntiller.components.entry.response_times import MIN_RESPONSES
 from bitterntiller.components.settings.models import QuotaWindow
 from bitterntiller.core.clock import RuntimeClock
 from tests.components.entry.counting import Counting, CountingLinks
@@ -92,7 +92,7 @@
     """
 
     async def upstream(sock: Any, data: bytes, number: int) -> None:
-        if number == LEAST_ANSWERS:
+        if number == MIN_RESPONSES:
             await curio.sleep(3.0)
         await sock.sendall(answer(b"tile"))
 
@@ -101,13 +101,13 @@
 
     async def async_main() -> tuple[bytes, int]:
         async with builders.entry_host(upstream, configuration) as host:
-            for _ in range(LEAST_ANSWERS):
+            for _ in range(MIN_RESPONSES):
                 await host.async_ask(call)
             return await host.async_ask(call), len(host.requests)
 
     received, sent = curio.run(async_main)
     assert received.endswith(b"tile") == repeatable
-    assert sent == LEAST_ANSWERS + 1 + repeatable
+    assert sent == MIN_RESPONSES + 1 + repeatable
 
 
 def used(*answers: bytes, document: dict[str, Any] = METERED) -> tuple[int, int]:
