--- a/bitterntiller/components/entry/__init__.py
+++ b/bitterntiller/components/entry/__init__.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from bitterntiller.components.entry import const
-from bitterntiller.components.entry.claiming import Claimant
+from bitterntiller.components.entry.claiming import ClaimClient
 from bitterntiller.components.entry.context import Context
 from bitterntiller.components.entry.coordinator import EntryCoordinator
 from bitterntiller.components.entry.diagnostics import describe
@@ -129,8 +129,10 @@
 async def _async_start(
     runtime: Runtime, context: Context, retries: RetryBudget | None
 ) -> EntryCoordinator:
-    claimant = Claimant(context, runtime.incarnation)
-    coordinator = EntryCoordinator(context, runtime.settings.limits, claimant, retries)
+    claim_client = ClaimClient(context, runtime.incarnation)
+    coordinator = EntryCoordinator(
+        context, runtime.settings.limits, claim_client, retries
+    )
     registry = coordinator.registry
     for cls, handler in (
         (messages.Grant, registry.async_on_grant),
--- a/bitterntiller/components/entry/account.py
+++ b/bitterntiller/components/entry/accounting.py
@@ -2,8 +2,8 @@
 
 from bitterntiller.components.entry import const
 from bitterntiller.components.entry.context import Context
-from bitterntiller.components.entry.models import ActiveRequest, Identified
-from bitterntiller.components.entry.wire import finished_message
+from bitterntiller.components.entry.models import ActiveRequest, IdentifiedRequest
+from bitterntiller.components.entry.owner_messages import finished_message
 from bitterntiller.core.outcomes import Ending, Outcome
 
 UNIDENTIFIED = "none"
@@ -12,7 +12,7 @@
 
 
 def count_refusal(
-    context: Context, ending: Ending, identified: Identified | None
+    context: Context, ending: Ending, identified: IdentifiedRequest | None
 ) -> None:
     """Count a request that no upstream answered, by tier and reason."""
     tier = identified.tier.name if identified else UNIDENTIFIED
@@ -30,7 +30,7 @@
     arrived = identified.received.arrived
     now = context.clock.now()
     metrics.count(f"{const.METRIC_REQUESTS}.{service}.{tier}.{outcome}")
-    metrics.timing(f"{const.METRIC_QUEUE_WAIT}.{tier}", active.granted_at - arrived)
+    metrics.timing(f"{const.METRIC_QUEUE_WAIT}.{tier}", active.sent_at - arrived)
     metrics.count(f"{const.METRIC_TOKENS}.{tier}", active.output_tokens)
     if active.first_byte_at is not None:
         to_first = active.first_byte_at - arrived
@@ -49,7 +49,7 @@
     return outcome
 
 
-async def async_tell_owner(
+async def async_report_end(
     context: Context, active: ActiveRequest, outcome: str
 ) -> None:
     """Tell the pool's present owner that a sent request has ended."""
--- a/bitterntiller/components/entry/admission_checks.py
+++ b/bitterntiller/components/entry/admission_checks.py
@@ -8,7 +8,7 @@
 from bitterntiller.components.entry import const
 from bitterntiller.components.entry.budget import HostBudget
 from bitterntiller.components.entry.context import Context
-from bitterntiller.components.entry.models import ActiveRequest, Identified
+from bitterntiller.components.entry.models import ActiveRequest, IdentifiedRequest
 from bitterntiller.components.entry.quota_client import QuotaRequest
 from bitterntiller.components.http.exchange import Exchange
 from bitterntiller.components.http.models import header
@@ -33,7 +33,7 @@
             return self._limits.body_bytes
         return min(limits.body_bytes, self._limits.body_bytes)
 
-    async def async_lease_due(self) -> None:
+    async def async_wait_for_lease(self) -> None:
         """Return once there is a lease, or none is to be expected soon.
 
         After a loss of power all callers come back at once, and hosts are up before
@@ -49,21 +49,21 @@
         while clock.now() < until and not lease.valid():
             await curio.sleep(const.LEASE_POLL)
 
-    def unready(self, draining: bool) -> Ending | None:
+    def check_ready(self, draining: bool) -> Ending | None:
         """Refuse all requests of a host that can't serve any now."""
         if draining:
-            return come_back(Reason.DRAINING)
+            return retry_later(Reason.DRAINING)
         # Without a lease a newer configuration may be in force elsewhere.
         if not self._context.lease.valid():
             spread = random.uniform(*const.NO_LEASE_SPREAD)
-            return come_back(Reason.NO_LEASE, spread * const.NO_LEASE_RETRY_AFTER)
+            return retry_later(Reason.NO_LEASE, spread * const.NO_LEASE_RETRY_AFTER)
         # A new deployment knows no workspace yet; 401 would tell callers that
         # their tokens are wrong, and they would not come back.
         if not self._context.config.version:
-            return come_back(Reason.NO_CONFIGURATION)
+            return retry_later(Reason.NO_CONFIGURATION)
         return None
 
-    def expected_size(self, exchange: Exchange) -> int:
+    def expected_body_bytes(self, exchange: Exchange) -> int:
         """Return the bytes to set aside for a body that has not come yet."""
         text = header(exchange.head.headers, b"content-length")
         if text is not None and text.isdigit():
@@ -72,7 +72,7 @@
             return self._limits.body_bytes
         return 0
 
-    def take_room(self, identified: Identified, size: int) -> Ending | None:
+    def reserve_body(self, identified: IdentifiedRequest, size: int) -> Ending | None:
         """Set bytes of the host aside for a body, or refuse it."""
         if size > self.body_bytes():
             detail = f"a body over {self.body_bytes()} bytes"
@@ -80,7 +80,7 @@
         tiers = self._context.config.config.tiers_by_name.values()
         ranks = sorted(tier.rank for tier in tiers)
         index = ranks.index(identified.tier.rank)
-        return self._budget.take(identified, size, index, len(ranks))
+        return self._budget.reserve(identified, size, index, len(ranks))
 
     def check_quarantine(self, active: ActiveRequest) -> Ending | None:
         """Refuse a copy of a request that has crashed too many upstreams."""
@@ -94,7 +94,7 @@
         )
         return quarantine_ending(crashes, active.fingerprint, self._context.clock.now())
 
-    async def async_over_quota(self, active: ActiveRequest) -> Ending | None:
+    async def async_hold_quota(self, active: ActiveRequest) -> Ending | None:
         """Hold a request against its workspace's quota, or refuse it."""
         quota = self._context.quota
         if quota is None:
@@ -104,7 +104,7 @@
             active.hold = verdict.hold
             return None
         if not verdict.counted:
-            return come_back(Reason.NO_OWNER, verdict.wait)
+            return retry_later(Reason.NO_OWNER, verdict.wait)
         usage = active.prepared.estimate.usage
         kept = "room is kept then" if verdict.retry_reserved else "no room is kept"
         detail = (
@@ -129,7 +129,7 @@
         """
         quota = self._context.quota
         held = active.hold is not None
-        if quota is None or held or active.runs < active.spent_runs:
+        if quota is None or held or active.runs < active.charged_runs:
             return True
         verdict = await quota.async_hold_repeat(quota_request(active))
         active.hold = verdict.hold
@@ -186,6 +186,6 @@
     )
 
 
-def come_back(reason: Reason, after: float = const.DEFAULT_RETRY_AFTER) -> Ending:
+def retry_later(reason: Reason, after: float = const.DEFAULT_RETRY_AFTER) -> Ending:
     """Return the ending of a request that may be sent again after some seconds."""
     return Ending(Outcome.NOT_RUN, reason, 503, retry_after=after)
--- a/bitterntiller/components/entry/attempt.py
+++ b/bitterntiller/components/entry/attempt.py
@@ -5,11 +5,11 @@
 from bitterntiller.components.config.models import Route
 from bitterntiller.components.entry import const
 from bitterntiller.components.entry.admission_checks import quarantine_ending
-from bitterntiller.components.entry.claiming import Claimant
+from bitterntiller.components.entry.claiming import ClaimClient
 from bitterntiller.components.entry.context import Context
 from bitterntiller.components.entry.dialect import ResponseClass
 from bitterntiller.components.entry.event_logging import log_response, log_sending
-from bitterntiller.components.entry.identify import withdrawn
+from bitterntiller.components.entry.identify import revalidate
 from bitterntiller.components.entry.limit_reports import async_report_limit
 from bitterntiller.components.entry.models import (
     ActiveRequest,
@@ -21,10 +21,10 @@
 )
 from bitterntiller.components.entry.relay import LOST_RESPONSE, Relay
 from bitterntiller.components.entry.send_checks import (
-    LAPSED_LEASE,
-    lapsed,
+    LEASE_EXPIRED,
+    check_expiry,
+    check_upstream,
     version_of,
-    withheld,
 )
 from bitterntiller.components.http.client import ClientExchange
 from bitterntiller.components.http.errors import BrokenAnswerError, ConnectRefusedError
@@ -53,10 +53,10 @@
         exchange: Exchange,
         active: ActiveRequest,
         context: Context,
-        claimant: Claimant,
+        claim_client: ClaimClient,
         may_repeat: bool = False,
     ) -> None:
-        self._claimant = claimant
+        self._claim_client = claim_client
         self._exchange = exchange
         self._active = active
         self._context = context
@@ -78,9 +78,9 @@
             return Retry(grant.upstream, REFUSED_CONNECTION)
         kept = False
         try:
-            verdict = await self._async_claimed(client, grant)
+            verdict = await self._async_claim_and_send(client, grant)
             kept = isinstance(verdict, RelayResult) and verdict.whole
-            kept = kept or _certainly_answered(verdict)
+            kept = kept or _has_complete_response(verdict)
             return verdict
         finally:
             if kept:
@@ -88,13 +88,13 @@
             else:
                 await client.async_close()
 
-    async def _async_claimed(
+    async def _async_claim_and_send(
         self, client: ClientExchange, grant: GrantReceived
     ) -> Verdict:
-        verdict = await self._claimant.async_take(self._active, grant)
+        verdict = await self._claim_client.async_take(self._active, grant)
         if verdict is not None:
             return verdict
-        await self._async_started(grant)
+        await self._async_report_started(grant)
         # Connecting, claiming and telling the owner took time, and the process
         # may have been stopped in it. Nothing may wait between this check and
         # the bytes.
@@ -113,7 +113,7 @@
 
     def _check_upstream(self, grant: GrantReceived) -> Retry | None:
         context = self._context
-        reason = withheld(grant, context.upstreams, context.versions)
+        reason = check_upstream(grant, context.upstreams, context.versions)
         return None if reason is None else Retry(grant.upstream, reason)
 
     def _check_crashes(self) -> Ending | None:
@@ -129,27 +129,27 @@
         view = self._context.config
         if view.version == identified.config_version:
             return None
-        return withdrawn(identified, view.config)
+        return revalidate(identified, view.config)
 
     def _check_time(self, grant: GrantReceived) -> Ending | Retry | None:
         deadline = self._active.prepared.identified.deadline
         now = self._context.clock.now()
-        reason = lapsed(grant, deadline, self._context.lease, now)
+        reason = check_expiry(grant, deadline, self._context.lease, now)
         if reason is None:
             return None
-        self._context.metrics.count(const.METRIC_LAPSED_GRANTS)
+        self._context.metrics.count(const.METRIC_EXPIRED_GRANTS)
         if reason == Reason.TOO_LATE:
             return _not_run(Reason.TOO_LATE)
-        if reason == LAPSED_LEASE:
+        if reason == LEASE_EXPIRED:
             return _not_run(Reason.NO_LEASE)
         return Retry("", reason)
 
     async def _async_send(
         self, client: ClientExchange, grant: GrantReceived
     ) -> Verdict:
-        verdict = await self._async_exchange(client, grant)
+        verdict = await self._async_request_and_relay(client, grant)
         crashes = self._context.crashes
-        if crashes is not None and _broke(verdict):
+        if crashes is not None and _response_broke(verdict):
             active = self._active
             sent = SentRequest(
                 request_id=active.request_id,
@@ -161,20 +161,20 @@
             await crashes.async_check_crash(sent, retrying=isinstance(verdict, Retry))
         return verdict
 
-    async def _async_exchange(
+    async def _async_request_and_relay(
         self, client: ClientExchange, grant: GrantReceived
     ) -> Verdict:
         active = self._active
         active.mark_sending(grant)
-        active.granted_at = self._context.clock.now()
+        active.sent_at = self._context.clock.now()
         self._spend_quota()
         version = version_of(grant, self._context.upstreams)
-        log_sending(active, grant, client.kept, version, active.granted_at)
+        log_sending(active, grant, client.kept, version, active.sent_at)
         try:
             await self._async_send_request(client, grant)
             head, finding = await self._async_head(client)
         except BrokenAnswerError as error:
-            return await self._async_lost_head(error)
+            return await self._async_handle_lost_response(error)
         active.load = self._context.dialect.load(head)
         active.rate_limit = self._context.dialect.rate_limit(head)
         now = self._context.clock.now()
@@ -182,32 +182,32 @@
         if finding is not ResponseClass.FOREIGN:
             await async_report_limit(self._context, active, grant, now)
         if self._context.response_times is not None and finding is ResponseClass.ANSWER:
-            self._context.response_times.note(active.pool, now - active.granted_at)
+            self._context.response_times.note(active.pool, now - active.sent_at)
         if finding is ResponseClass.NOT_RUN:
-            await _async_read_rest(client)
+            await _async_drain_response(client)
             return Retry(grant.upstream, NOT_ADMITTED)
         if finding is ResponseClass.FOREIGN:
             error = BrokenAnswerError("the answer names another request")
-            return await self._async_lost_head(error)
-        if finding is not ResponseClass.ANSWER and self._repeats():
-            await _async_read_rest(client)
+            return await self._async_handle_lost_response(error)
+        if finding is not ResponseClass.ANSWER and self._can_repeat():
+            await _async_drain_response(client)
             return Retry(grant.upstream, FAILED, ran=True)
         if finding is ResponseClass.WITHHELD:
             return _unknown(Reason.UPSTREAM_FAILED, BAD_GATEWAY)
         active.phase = Phase.RELAYING
         relay = Relay(self._exchange, active, self._context)
-        return await self._async_relayed(await relay.async_run(client, head))
+        return await self._async_finish_relay(await relay.async_run(client, head))
 
     def _spend_quota(self) -> None:
         """Count this run, unless an earlier count proved to be of no run."""
         active = self._active
         quota = self._context.quota
-        if quota is None or active.runs <= active.spent_runs:
+        if quota is None or active.runs <= active.charged_runs:
             return
         workspace = active.prepared.identified.workspace
         quota.spend(workspace, active.prepared.estimate.usage, active.hold)
         active.hold = None
-        active.spent_runs = active.runs
+        active.charged_runs = active.runs
 
     async def _async_send_request(
         self, client: ClientExchange, grant: GrantReceived
@@ -245,23 +245,23 @@
                 finding = dialect.classify_response(self._active, head)
         return head, finding
 
-    async def _async_relayed(self, verdict: RelayResult | Retry) -> Verdict:
+    async def _async_finish_relay(self, verdict: RelayResult | Retry) -> Verdict:
         if isinstance(verdict, RelayResult):
             if not verdict.whole:
-                await self._async_cancel_soon()
+                await self._async_cancel_in_background()
             return verdict
-        await self._async_cancel_soon()
-        if self._repeats():
+        await self._async_cancel_in_background()
+        if self._can_repeat():
             return verdict
         if self._exchange.started:
             await self._exchange.async_cut()
             return RelayResult(False, BAD_GATEWAY)
         return _unknown(Reason.UPSTREAM_RESET, BAD_GATEWAY)
 
-    def _repeats(self) -> bool:
+    def _can_repeat(self) -> bool:
         return self._may_repeat and self._active.repeatable
 
-    async def _async_cancel_soon(self) -> None:
+    async def _async_cancel_in_background(self) -> None:
         """Stop the upstream's work in the background.
 
         The caller of a cut answer sees the cut only after this filter has ended.
@@ -269,7 +269,7 @@
         cancel = self._context.dialect.async_cancel_work
         await curio.spawn(cancel, self._active, daemon=True)
 
-    async def _async_started(self, grant: GrantReceived) -> None:
+    async def _async_report_started(self, grant: GrantReceived) -> None:
         message = messages.Started(
             request_id=self._active.request_id,
             pool=grant.pool,
@@ -287,11 +287,11 @@
         identified = self._active.prepared.identified
         left = identified.deadline - self._context.clock.now()
         timeout = min(left, self._timings.upstream_first_byte)
-        if self._repeats() and identified.route is not None:
-            timeout = min(timeout, self._patience(identified.route))
+        if self._can_repeat() and identified.route is not None:
+            timeout = min(timeout, self._repeat_timeout(identified.route))
         return max(const.LEAST_TIMEOUT, timeout)
 
-    def _patience(self, route: Route) -> float:
+    def _repeat_timeout(self, route: Route) -> float:
         """Return how long to wait for an answer that can be had elsewhere.
 
         Calls wait by what their service usually takes. A stream costs a prefill
@@ -304,7 +304,7 @@
         patience = times.attempt_timeout(self._active.pool, route.objective)
         return longest if patience is None else min(patience, longest)
 
-    async def _async_lost_head(self, error: BrokenAnswerError) -> Verdict:
+    async def _async_handle_lost_response(self, error: BrokenAnswerError) -> Verdict:
         """End an attempt without an answer: it may have run.
 
         A reset or a timeout does not tell whether the upstream took the request, so
@@ -313,28 +313,28 @@
         """
         active = self._active
         late = self._context.clock.now() >= active.prepared.identified.deadline
-        if self._repeats() and not late:
-            await self._async_cancel_soon()
+        if self._can_repeat() and not late:
+            await self._async_cancel_in_background()
             return Retry(active.upstream, LOST_RESPONSE, ran=True)
         own_stream = active.prepared.estimate.streamed and active.route is None
         if own_stream and not late:
             relayed = await self._async_resume_from_start()
             if relayed is not None:
                 if not relayed.whole:
-                    await self._async_cancel_soon()
+                    await self._async_cancel_in_background()
                 return relayed
         # The answer does not wait for this: a given-up request ends at once.
-        await self._async_cancel_soon()
+        await self._async_cancel_in_background()
         reason = Reason.UPSTREAM_TIMEOUT if late else Reason.UPSTREAM_RESET
         status = GATEWAY_TIMEOUT if late else BAD_GATEWAY
         return _unknown(reason, status, error.text)
 
     async def _async_resume_from_start(self) -> RelayResult | None:
         relay = Relay(self._exchange, self._active, self._context)
-        return await relay.async_from_start()
+        return await relay.async_resume_from_start()
 
 
-def _broke(verdict: Verdict) -> bool:
+def _response_broke(verdict: Verdict) -> bool:
     """Tell whether a request was sent and its answer did not end as answers do."""
     if isinstance(verdict, RelayResult):
         return not verdict.whole
@@ -343,12 +343,12 @@
     return isinstance(verdict, Ending) and verdict.reason in _BROKEN_ANSWERS
 
 
-def _certainly_answered(verdict: Verdict) -> bool:
+def _has_complete_response(verdict: Verdict) -> bool:
     """Tell whether an attempt ended with a whole answer that was not relayed."""
     return isinstance(verdict, Retry) and verdict.reason in (NOT_ADMITTED, FAILED)
 
 
-async def _async_read_rest(client: ClientExchange) -> None:
+async def _async_drain_response(client: ClientExchange) -> None:
     """Read the body of an answer that is not relayed, to keep its connection."""
     try:
         await client.async_guard(const.REST_SILENCE)
--- a/bitterntiller/components/entry/tokens.py
+++ b/bitterntiller/components/entry/authentication.py
@@ -5,7 +5,7 @@
 from bitterntiller.components.config.models import Config, Workspace
 
 
-def workspace_of(token: str, config: Config) -> Workspace | None:
+def find_workspace_by_token(token: str, config: Config) -> Workspace | None:
     """Return the workspace that a token belongs to; configurations hold its SHA-256."""
     if not token:
         return None
--- a/bitterntiller/components/entry/budget.py
+++ b/bitterntiller/components/entry/budget.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from bitterntiller.components.entry.models import Identified
+from bitterntiller.components.entry.models import IdentifiedRequest
 from bitterntiller.components.settings.models import Limits
 from bitterntiller.core.outcomes import Ending, Outcome, Reason
 
@@ -20,8 +20,8 @@
         self._requests_by_workspace: Counter[str] = Counter()
         self.held_bytes = 0
 
-    def take(
-        self, identified: Identified, size: int, rank_index: int, ranks: int
+    def reserve(
+        self, identified: IdentifiedRequest, size: int, rank_index: int, ranks: int
     ) -> Ending | None:
         """Reserve room for a body of size bytes, or tell why there is none.
 
@@ -52,7 +52,7 @@
         self.held_bytes -= size - used
         return used
 
-    def release(self, identified: Identified, size: int) -> None:
+    def release(self, identified: IdentifiedRequest, size: int) -> None:
         """Give back what take() reserved."""
         name = identified.workspace.name
         self._requests_by_workspace[name] -= 1
--- a/bitterntiller/components/entry/claiming.py
+++ b/bitterntiller/components/entry/claiming.py
@@ -49,7 +49,7 @@
     return digest.hexdigest()
 
 
-class Claimant:
+class ClaimClient:
     """Takes, finds and settles the claims of this host's requests."""
 
     def __init__(self, context: Context, incarnation: str) -> None:
@@ -64,7 +64,7 @@
         reply = await self._async_call(ACTION_FIND, active, CLAIM_TIMEOUT)
         if reply is None or reply.status == STATUS_UNKNOWN:
             return _unavailable()
-        return _earlier(reply)
+        return _existing_claim(reply)
 
     async def async_take(
         self, active: ActiveRequest, grant: GrantReceived
@@ -92,7 +92,7 @@
         if reply.status == STATUS_TAKEN:
             active.claimed = True
             return None
-        return _earlier(reply) or _unavailable()
+        return _existing_claim(reply) or _unavailable()
 
     async def async_settle(
         self, active: ActiveRequest, action: str, outcome: str, status: int
@@ -107,11 +107,11 @@
     ) -> None:
         self.settling += 1
         try:
-            await self._async_settle_until_heard(active, action, outcome, status)
+            await self._async_settle_until_acknowledged(active, action, outcome, status)
         finally:
             self.settling -= 1
 
-    async def _async_settle_until_heard(
+    async def _async_settle_until_acknowledged(
         self, active: ActiveRequest, action: str, outcome: str, status: int
     ) -> None:
         for _ in range(SETTLE_ATTEMPTS):
@@ -147,7 +147,7 @@
         return await self._context.control.async_call_leader(message, timeout)
 
 
-def _earlier(reply: messages.ClaimReply) -> ClaimFound | Ending | None:
+def _existing_claim(reply: messages.ClaimReply) -> ClaimFound | Ending | None:
     """Return what an earlier copy's claim means for this one."""
     if reply.status in FREE_STATUSES:
         return None
@@ -177,7 +177,7 @@
     )
 
 
-def ending_of(found: ClaimFound) -> Ending:
+def claim_ending(found: ClaimFound) -> Ending:
     """Return the ending of a copy whose earlier one can't be followed.
 
     Never not-run: the earlier copy may be running or have run.
--- a/bitterntiller/components/entry/context.py
+++ b/bitterntiller/components/entry/context.py
@@ -6,7 +6,7 @@
 from bitterntiller.components.config.models import Workspace
 from bitterntiller.components.entry.dialect import HttpDialect
 from bitterntiller.components.entry.native_dialect import NativeDialect
-from bitterntiller.components.entry.quota import Hold
+from bitterntiller.components.entry.quota import QuotaHold
 from bitterntiller.components.entry.quota_client import QuotaRequest, QuotaVerdict
 from bitterntiller.components.entry.rate_limits import RateLimitCache
 from bitterntiller.components.entry.response_times import ResponseTimes
@@ -47,19 +47,19 @@
         """Tell whether async_hold_repeat would probably hold an amount now."""
         ...
 
-    def release(self, hold: Hold) -> None:
+    def release(self, hold: QuotaHold) -> None:
         """Give back what was held for a request that ends without a sending."""
         ...
 
-    def spend(self, workspace: Workspace, amount: int, hold: Hold | None) -> None:
+    def spend(self, workspace: Workspace, amount: int, hold: QuotaHold | None) -> None:
         """Count a sending, for which its amount or nothing was held."""
         ...
 
 
-class DepartedView(Protocol):
+class DepartingView(Protocol):
     """Knows which upstreams are to get no more work, as this host has heard."""
 
-    def left(self, name: str) -> bool:
+    def is_departing(self, name: str) -> bool:
         """Tell whether an upstream leaves or has left."""
         ...
 
@@ -84,7 +84,7 @@
     connections: ConnectionPool = UNKEPT
     quota: QuotaGate | None = None
     response_times: ResponseTimes | None = None
-    upstreams: DepartedView | None = None
+    upstreams: DepartingView | None = None
     crashes: CrashWatch | None = None
     rate_limits: RateLimitCache = NO_CACHE
     versions: VersionsView | None = None
--- a/bitterntiller/components/entry/coordinator.py
+++ b/bitterntiller/components/entry/coordinator.py
@@ -6,10 +6,11 @@
 
 from bitterntiller.components.entry import const
 from bitterntiller.components.entry.budget import HostBudget
-from bitterntiller.components.entry.claiming import Claimant
+from bitterntiller.components.entry.claiming import ClaimClient
 from bitterntiller.components.entry.context import Context
 from bitterntiller.components.entry.limit_reports import async_report_known_limits
 from bitterntiller.components.entry.models import ActiveRequest, Phase
+from bitterntiller.components.entry.owner_messages import milliseconds, register_message
 from bitterntiller.components.entry.pipeline import Pipeline
 from bitterntiller.components.entry.registry import (
     LeaseLost,
@@ -17,7 +18,6 @@
     RequestRegistry,
 )
 from bitterntiller.components.entry.retry_budget import RetryBudget
-from bitterntiller.components.entry.wire import milliseconds, register_message
 from bitterntiller.components.settings.models import Limits
 from bitterntiller.core.interfaces import Ownership
 from bitterntiller.protocol import messages
@@ -32,19 +32,19 @@
         self,
         context: Context,
         limits: Limits,
-        claimant: Claimant,
+        claim_client: ClaimClient,
         retries: RetryBudget | None = None,
     ) -> None:
         self._context = context
         self.registry = RequestRegistry(context)
         self.budget = HostBudget(limits)
         self.pipeline = Pipeline(
-            context, limits, self.budget, self.registry, claimant, retries
+            context, limits, self.budget, self.registry, claim_client, retries
         )
         self._owners_by_pool: dict[str, Ownership | None] = {}
         self._had_lease = True
         self.leaving = False
-        self._claimant = claimant
+        self._claim_client = claim_client
         self._drain_listeners: list[Callable[[], Awaitable[None]]] = []
 
     def add_drain_listener(self, listener: Callable[[], Awaitable[None]]) -> None:
@@ -132,7 +132,7 @@
         while True:
             await curio.sleep(const.ENDED_PERIOD)
             live = self.registry.by_id.keys()
-            ids = self.registry.endings.recent(live, self._context.clock.now())
+            ids = self.registry.ended_requests.recent(live, self._context.clock.now())
             if not ids:
                 continue
             message = messages.EndedRequests(
@@ -176,7 +176,7 @@
     async def _async_settled(self) -> None:
         """Let control hear for a moment how the last claims ended."""
         async with curio.ignore_after(const.SETTLED_WAIT):
-            while self._claimant.settling:
+            while self._claim_client.settling:
                 await curio.sleep(const.DRAINED_POLL)
 
     async def _async_check_lease(self) -> None:
@@ -248,6 +248,6 @@
     One that goes on at another upstream had its first output from the one before.
     """
     first = active.first_byte_at
-    if active.reported_tokens or first is None or first < active.granted_at:
+    if active.reported_tokens or first is None or first < active.sent_at:
         return None
-    return milliseconds(first - active.granted_at)
+    return milliseconds(first - active.sent_at)
--- a/bitterntiller/components/entry/dialect.py
+++ b/bitterntiller/components/entry/dialect.py
@@ -12,8 +12,8 @@
     ActiveRequest,
     Estimate,
     GrantReceived,
-    Identified,
-    Received,
+    IdentifiedRequest,
+    ReceivedRequest,
     ReportedLoad,
 )
 from bitterntiller.components.http.models import Headers, RequestHead, ResponseHead
@@ -39,11 +39,11 @@
 class HttpDialect(Protocol):
     """The conversation of an entry host with callers and upstreams."""
 
-    def receive(self, head: RequestHead, now: float) -> Received | Ending:
+    def parse_request(self, head: RequestHead, now: float) -> ReceivedRequest | Ending:
         """Return what the headers of a request tell, or why it can't be served."""
         ...
 
-    def estimate(self, identified: Identified, body: bytes) -> Estimate:
+    def estimate(self, identified: IdentifiedRequest, body: bytes) -> Estimate:
         """Return the work that a request asks for."""
         ...
 
--- a/bitterntiller/components/entry/endings.py
+++ b/bitterntiller/components/entry/ended_requests.py
@@ -41,7 +41,7 @@
     upto: int
 
 
-class Endings:
+class EndedRequestLog:
     """Remembers what has ended, and what each owner has acknowledged of it."""
 
     def __init__(self) -> None:
--- a/bitterntiller/components/entry/event_logging.py
+++ b/bitterntiller/components/entry/event_logging.py
@@ -6,7 +6,7 @@
 from bitterntiller.components.entry.models import (
     ActiveRequest,
     GrantReceived,
-    Identified,
+    IdentifiedRequest,
     Retry,
 )
 from bitterntiller.core import events
@@ -14,7 +14,10 @@
 
 
 def log_refusal(
-    context: Context, ending: Ending, identified: Identified | None, request_id: str
+    context: Context,
+    ending: Ending,
+    identified: IdentifiedRequest | None,
+    request_id: str,
 ) -> None:
     """Log a request that was answered here, and what that rests on."""
     waited = 0.0
@@ -32,7 +35,7 @@
         service=identified.service.name if identified else "",
         tier=identified.tier.name if identified else "",
         route=_route(identified),
-        tokens=_stated_tokens(identified),
+        tokens=_declared_tokens(identified),
         config_version=context.config.version,
         lease_valid=context.lease.valid(),
     )
@@ -76,7 +79,7 @@
         upstream=active.upstream,
         status=status,
         finding=finding,
-        after=round(now - active.granted_at, 4),
+        after=round(now - active.sent_at, 4),
         rate_limit=active.rate_limit,
     )
 
@@ -106,7 +109,7 @@
         service=identified.service.name,
         tier=identified.tier.name,
         route=_route(identified),
-        tokens=_stated_tokens(identified),
+        tokens=_declared_tokens(identified),
         upstream=active.upstream,
         runs=active.runs,
         tried=active.tried,
@@ -116,14 +119,14 @@
     )
 
 
-def _route(identified: Identified | None) -> str:
+def _route(identified: IdentifiedRequest | None) -> str:
     """Return the name of the route that matched, empty without one."""
     if identified is None or identified.route is None:
         return ""
     return identified.route.name
 
 
-def _stated_tokens(identified: Identified | None) -> int | None:
+def _declared_tokens(identified: IdentifiedRequest | None) -> int | None:
     """Return the prompt with the output that the caller stated, None if it didn't."""
     if identified is None or identified.received.work is None:
         return None
--- a/bitterntiller/components/entry/identify.py
+++ b/bitterntiller/components/entry/identify.py
@@ -2,17 +2,17 @@
 
 from bitterntiller.components.config.models import Config, Service, Tier, Workspace
 from bitterntiller.components.entry import const
-from bitterntiller.components.entry.models import Identified, Received
+from bitterntiller.components.entry.authentication import find_workspace_by_token
+from bitterntiller.components.entry.models import IdentifiedRequest, ReceivedRequest
 from bitterntiller.components.entry.routing import identify_by_route
-from bitterntiller.components.entry.tokens import workspace_of
 from bitterntiller.core.outcomes import Ending, Outcome, Reason
 
 
-def identify(received: Received, config: Config) -> Identified | Ending:
+def identify(received: ReceivedRequest, config: Config) -> IdentifiedRequest | Ending:
     """Return the request with its workspace, service, tier and deadline."""
     if config.routes_by_host:
         return identify_by_route(received, config)
-    workspace = workspace_of(received.token, config)
+    workspace = find_workspace_by_token(received.token, config)
     if workspace is None:
         return _refusal(Reason.UNAUTHORIZED, 401, "no workspace has this token")
     if has_dot_segment(received.head.path):
@@ -29,7 +29,7 @@
     deadline_ms = received.deadline_ms
     if deadline_ms is None:
         deadline_ms = tier.deadline_ms
-    return Identified(
+    return IdentifiedRequest(
         received=received,
         workspace=workspace,
         service=service,
@@ -40,7 +40,7 @@
     )
 
 
-def withdrawn(identified: Identified, config: Config) -> Ending | None:
+def revalidate(identified: IdentifiedRequest, config: Config) -> Ending | None:
     """Return why a newer configuration no longer allows a request.
 
     None when it still does, for the same service and tier. A request can wait
@@ -105,7 +105,7 @@
     return tier
 
 
-def _idempotent(received: Received, service: Service) -> bool:
+def _idempotent(received: ReceivedRequest, service: Service) -> bool:
     if received.head.method in const.IDEMPOTENT_METHODS:
         return True
     path = received.head.path
--- a/bitterntiller/components/entry/limit_reports.py
+++ b/bitterntiller/components/entry/limit_reports.py
@@ -4,8 +4,8 @@
 
 from bitterntiller.components.entry.context import Context
 from bitterntiller.components.entry.models import ActiveRequest, GrantReceived
+from bitterntiller.components.entry.owner_messages import limit_message
 from bitterntiller.components.entry.rate_limits import ReportedLimit
-from bitterntiller.components.entry.wire import limit_message
 from bitterntiller.core.interfaces import Ownership
 
 
--- a/bitterntiller/components/entry/models.py
+++ b/bitterntiller/components/entry/models.py
@@ -7,7 +7,7 @@
 
 from bitterntiller.components.config.models import Route, Service, Tier, Workspace
 from bitterntiller.components.entry.errors import SentTwiceError
-from bitterntiller.components.entry.quota import Hold
+from bitterntiller.components.entry.quota import QuotaHold
 from bitterntiller.components.entry.sse import EventStream
 from bitterntiller.components.http.models import RequestHead
 from bitterntiller.core.interfaces import Ownership
@@ -21,7 +21,7 @@
     tokens: int
 
 
-class StatedWork(NamedTuple):
+class DeclaredWork(NamedTuple):
     """What a caller's headers tell of the work, where its interface has such headers.
 
     output_tokens is the expected output. parts are the parts of the prompt in their
@@ -34,7 +34,7 @@
     most_tokens: int
 
 
-class Received(NamedTuple):
+class ReceivedRequest(NamedTuple):
     """A request whose head was read and whose own headers are well formed."""
 
     request_id: str
@@ -44,11 +44,11 @@
     deadline_ms: int | None
     tier: str
     arrived: float
-    work: StatedWork | None = None
+    work: DeclaredWork | None = None
     host: str = ""
 
 
-class Identified(NamedTuple):
+class IdentifiedRequest(NamedTuple):
     """A request whose workspace, service, tier and deadline are known.
 
     config_version is the version of the configuration by which they are. route is the
@@ -56,7 +56,7 @@
     which the first output is still good, and start_by when the caller gives up without.
     """
 
-    received: Received
+    received: ReceivedRequest
     workspace: Workspace
     service: Service
     tier: Tier
@@ -83,10 +83,10 @@
     usage: int = 1
 
 
-class Prepared(NamedTuple):
+class PreparedRequest(NamedTuple):
     """A request with its whole body, ready to wait for an upstream."""
 
-    identified: Identified
+    identified: IdentifiedRequest
     body: bytes
     estimate: Estimate
 
@@ -171,7 +171,7 @@
     Only the entry process that read the request has it, so nobody else can send.
     """
 
-    def __init__(self, prepared: Prepared) -> None:
+    def __init__(self, prepared: PreparedRequest) -> None:
         self.prepared = prepared
         self.phase = Phase.WAITING
         self.owner: Ownership | None = None
@@ -180,7 +180,7 @@
         self.tried: tuple[str, ...] = ()
         self.upstream = ""
         self.address = ""
-        self.granted_at = 0.0
+        self.sent_at = 0.0
         self.first_byte_at: float | None = None
         self.output_tokens = 0
         self.reported_tokens = 0
@@ -191,8 +191,8 @@
         self.claim_address = ""
         self.followed_id = ""
         self.runs = 0
-        self.hold: Hold | None = None
-        self.spent_runs = 0
+        self.hold: QuotaHold | None = None
+        self.charged_runs = 0
         self.stream: EventStream | None = None
         self.load: ReportedLoad | None = None
         self.fingerprint = 0
@@ -248,22 +248,22 @@
         """Tell whether any attempt so far may have run."""
         return self.runs > 0
 
-    def mark_lost(self, upstream: str) -> None:
+    def requeue_after_run(self, upstream: str) -> None:
         """Have the request wait again though it may have run; raise SentTwiceError."""
         if not self.repeatable:
             raise SentTwiceError(f"request {self.request_id} may run only once")
-        self._wait_again(upstream)
+        self._requeue(upstream)
 
-    def note_tried(self, upstream: str) -> None:
+    def requeue_unsent(self, upstream: str) -> None:
         """Note an upstream to which nothing was sent, as it could not be reached."""
-        self._wait_again(upstream)
+        self._requeue(upstream)
 
-    def mark_not_run(self, upstream: str) -> None:
+    def requeue_not_run(self, upstream: str) -> None:
         """Note the proof that the last attempt did not run."""
         self.runs -= 1
-        self._wait_again(upstream)
+        self._requeue(upstream)
 
-    def _wait_again(self, upstream: str) -> None:
+    def _requeue(self, upstream: str) -> None:
         self.may_have_run = False
         self.phase = Phase.WAITING
         self.tried = (*self.tried, upstream)
--- a/bitterntiller/components/entry/native_dialect.py
+++ b/bitterntiller/components/entry/native_dialect.py
@@ -7,14 +7,17 @@
     ActiveRequest,
     Estimate,
     GrantReceived,
-    Identified,
-    Received,
+    IdentifiedRequest,
+    ReceivedRequest,
     ReportedLoad,
 )
 from bitterntiller.components.entry.rate_limits import parse_rate
-from bitterntiller.components.entry.receive import receive
-from bitterntiller.components.entry.refuse import refusal_body, refusal_headers
+from bitterntiller.components.entry.refusal_responses import (
+    refusal_body,
+    refusal_headers,
+)
 from bitterntiller.components.entry.relay_headers import response_headers
+from bitterntiller.components.entry.request_parsing import parse_request
 from bitterntiller.components.entry.upstream_calls import (
     async_cancel_work,
     matches_request,
@@ -35,11 +38,11 @@
 class NativeDialect:
     """See docs/OPERATING.md and docs/UPSTREAMS.md for the headers; an Interface."""
 
-    def receive(self, head: RequestHead, now: float) -> Received | Ending:
+    def parse_request(self, head: RequestHead, now: float) -> ReceivedRequest | Ending:
         """Return what the headers of a request tell, or why it can't be served."""
-        return receive(head, now)
+        return parse_request(head, now)
 
-    def estimate(self, identified: Identified, body: bytes) -> Estimate:
+    def estimate(self, identified: IdentifiedRequest, body: bytes) -> Estimate:
         """Return the work that the body asks for."""
         return estimate(identified.service.kind, body)
 
--- a/bitterntiller/components/entry/wire.py
+++ b/bitterntiller/components/entry/owner_messages.py
@@ -97,7 +97,7 @@
     """Return the end of a request that was sent."""
     first = UNKNOWN_COUNT
     if active.first_byte_at is not None:
-        first = milliseconds(active.first_byte_at - active.granted_at)
+        first = milliseconds(active.first_byte_at - active.sent_at)
     cached = active.cached_tokens
     return messages.Finished(
         request_id=active.request_id,
@@ -107,7 +107,7 @@
         output_tokens=active.output_tokens,
         cached_tokens=UNKNOWN_COUNT if cached is None else cached,
         first_token_ms=first,
-        total_ms=milliseconds(now - active.granted_at),
+        total_ms=milliseconds(now - active.sent_at),
         in_time=now <= active.prepared.identified.deadline,
         load=_load(active),
     )
--- a/bitterntiller/components/entry/owner_watch.py
+++ b/bitterntiller/components/entry/owner_watch.py
@@ -5,7 +5,7 @@
 import curio
 
 from bitterntiller.components.entry import const
-from bitterntiller.components.entry.endings import UnacknowledgedEnds
+from bitterntiller.components.entry.ended_requests import UnacknowledgedEnds
 from bitterntiller.components.entry.quota import QuotaAccount, UnacknowledgedUse
 from bitterntiller.components.entry.quota_client import QUOTA_POOL, QuotaClient
 from bitterntiller.components.entry.registry import RequestRegistry
@@ -105,7 +105,7 @@
         live = self._registry.by_id
         now = self._runtime.clock.now()
         unacknowledged = bool(
-            self._registry.endings.unacknowledged(process, live, now).request_ids
+            self._registry.ended_requests.unacknowledged(process, live, now).request_ids
         )
         # The host that counts quotas counts for the part of the hosts that report to
         # it. One that has turned away must not be missed for long: both hosts would
@@ -140,7 +140,7 @@
         told = self._account.unacknowledged(process) if to_counter else NOTHING
         live = self._registry.by_id.keys()
         now = self._runtime.clock.now()
-        ended = self._registry.endings.unacknowledged(process, live, now)
+        ended = self._registry.ended_requests.unacknowledged(process, live, now)
         report = self._report(told, ended, to_counter)
         try:
             reply = await self._runtime.links.async_call(
@@ -158,7 +158,7 @@
             self._suspect(owner, "it has no configuration or lease")
             return
         if process == f"{owner.host}/{reply.incarnation}":
-            self._registry.endings.note_acknowledged(process, ended)
+            self._registry.ended_requests.note_acknowledged(process, ended)
             if to_counter:
                 self._account.note_acknowledged(process, told)
                 self._account.take_levels(reply.levels)
--- a/bitterntiller/components/entry/pipeline.py
+++ b/bitterntiller/components/entry/pipeline.py
@@ -2,15 +2,15 @@
 
 import curio
 
-from bitterntiller.components.entry import account, const
-from bitterntiller.components.entry.admission_checks import AdmissionChecks, come_back
+from bitterntiller.components.entry import accounting, const
+from bitterntiller.components.entry.admission_checks import AdmissionChecks, retry_later
 from bitterntiller.components.entry.attempt import Attempt
 from bitterntiller.components.entry.budget import HostBudget
 from bitterntiller.components.entry.claiming import (
     ACTION_FINISH,
     ACTION_VOID,
-    Claimant,
-    ending_of,
+    ClaimClient,
+    claim_ending,
 )
 from bitterntiller.components.entry.context import Context
 from bitterntiller.components.entry.event_logging import (
@@ -23,19 +23,22 @@
     ActiveRequest,
     ClaimFound,
     GrantReceived,
-    Identified,
+    IdentifiedRequest,
     Phase,
-    Prepared,
+    PreparedRequest,
     RelayResult,
     Retry,
     Verdict,
 )
+from bitterntiller.components.entry.registration import (
+    async_cancel_registration,
+    async_wait_for_grant,
+)
 from bitterntiller.components.entry.registry import RequestRegistry
 from bitterntiller.components.entry.relay import Relay
 from bitterntiller.components.entry.relay_headers import outcome_of
 from bitterntiller.components.entry.retry_budget import RetryBudget
 from bitterntiller.components.entry.send_checks import NOTHING_SENT
-from bitterntiller.components.entry.waiting import async_cancel, async_wait
 from bitterntiller.components.http.errors import BadRequestError, CallerGoneError
 from bitterntiller.components.http.exchange import Exchange
 from bitterntiller.components.settings.models import Limits
@@ -44,7 +47,7 @@
 CALLER_GONE = "caller-gone"
 FAULT = "fault"
 _REASON_BY_STATUS = {408: Reason.SLOW_CALLER, 413: Reason.BODY_TOO_LARGE}
-WATCH_PAUSE = 60.0
+FINISHED_POLL = 60.0
 
 
 class Pipeline:
@@ -56,10 +59,10 @@
         limits: Limits,
         budget: HostBudget,
         registry: RequestRegistry,
-        claimant: Claimant,
+        claim_client: ClaimClient,
         retries: RetryBudget | None = None,
     ) -> None:
-        self._claimant = claimant
+        self._claim_client = claim_client
         self._context = context
         self._budget = budget
         self._admission = AdmissionChecks(context, limits, budget)
@@ -69,22 +72,22 @@
 
     async def async_serve(self, exchange: Exchange) -> None:
         """Answer one request."""
-        received = self._context.dialect.receive(
+        received = self._context.dialect.parse_request(
             exchange.head, self._context.clock.now()
         )
         if isinstance(received, Ending):
             await self._async_refuse(exchange, received, None, "")
             return
         if not self.draining:
-            await self._admission.async_lease_due()
-        identified = self._admission.unready(self.draining) or identify(
+            await self._admission.async_wait_for_lease()
+        identified = self._admission.check_ready(self.draining) or identify(
             received, self._context.config.config
         )
         if isinstance(identified, Ending):
             await self._async_refuse(exchange, identified, None, received.request_id)
             return
-        size = self._admission.expected_size(exchange)
-        refusal = self._admission.take_room(identified, size)
+        size = self._admission.expected_body_bytes(exchange)
+        refusal = self._admission.reserve_body(identified, size)
         if refusal is not None:
             request_id = received.request_id
             await self._async_refuse(exchange, refusal, identified, request_id)
@@ -96,12 +99,12 @@
                 await self._async_refuse(exchange, body, identified, request_id)
                 return
             size = self._budget.shrink(size, len(body))
-            await self._async_with_body(exchange, identified, body)
+            await self._async_admit(exchange, identified, body)
         finally:
             self._budget.release(identified, size)
 
     async def _async_body(
-        self, exchange: Exchange, identified: Identified
+        self, exchange: Exchange, identified: IdentifiedRequest
     ) -> bytes | Ending:
         timeout = self._context.timings.body
         try:
@@ -110,23 +113,23 @@
             reason = _REASON_BY_STATUS.get(error.status, Reason.BAD_REQUEST)
             return Ending(Outcome.NOT_RUN, reason, error.status, detail=error.text)
 
-    async def _async_with_body(
-        self, exchange: Exchange, identified: Identified, body: bytes
+    async def _async_admit(
+        self, exchange: Exchange, identified: IdentifiedRequest, body: bytes
     ) -> None:
         work = self._context.dialect.estimate(identified, body)
-        active = ActiveRequest(Prepared(identified, body, work))
+        active = ActiveRequest(PreparedRequest(identified, body, work))
         refused = self._admission.check_quarantine(active)
         if refused is not None:
             await self._async_refuse(exchange, refused, identified, active.request_id)
             return
-        over = await self._admission.async_over_quota(active)
+        over = await self._admission.async_hold_quota(active)
         if over is not None:
             await self._async_refuse(exchange, over, identified, active.request_id)
             return
         await self._registry.async_add(active)
         self.retries.earn(active.pool)
         try:
-            await self._async_watched(exchange, active)
+            await self._async_run_watched(exchange, active)
         except CallerGoneError:
             await self._async_caller_gone(active)
         except Exception:
@@ -138,47 +141,51 @@
             self._admission.release_quota(active)
             self._registry.remove(active)
 
-    async def _async_watched(self, exchange: Exchange, active: ActiveRequest) -> None:
+    async def _async_run_watched(
+        self, exchange: Exchange, active: ActiveRequest
+    ) -> None:
         """Run the request while watching whether its caller is still there."""
         async with curio.TaskGroup(wait=any) as group:
             run = await group.spawn(self._async_process, exchange, active)
-            await group.spawn(_async_watch, exchange)
+            await group.spawn(_async_wait_caller_gone, exchange)
         if group.completed is not run:
             raise CallerGoneError("the caller closed the connection")
         if run.exception is not None:
             raise run.exception
 
     async def _async_process(self, exchange: Exchange, active: ActiveRequest) -> None:
-        verdict = await self._claimant.async_find(active)
+        verdict = await self._claim_client.async_find(active)
         while verdict is None or isinstance(verdict, Retry):
-            verdict = await self._async_step(exchange, active)
+            verdict = await self._async_attempt(exchange, active)
         if isinstance(verdict, ClaimFound):
-            verdict = await self._async_follow(exchange, active, verdict)
+            verdict = await self._async_follow_claim(exchange, active, verdict)
             if verdict is None:
                 return
         if isinstance(verdict, RelayResult):
             outcome = outcome_of(verdict.status) if verdict.whole else Outcome.UNKNOWN
             if outcome is Outcome.DONE and self._context.crashes is not None:
                 await self._context.crashes.async_note_success(active.fingerprint)
-            await self._async_account(active, outcome, verdict.status)
+            await self._async_record_end(active, outcome, verdict.status)
             return
         if active.may_have_run or active.has_run:
-            await self._async_account(active, verdict.outcome, verdict.status)
-            await self._async_end(exchange, active, _as_run(verdict))
+            await self._async_record_end(active, verdict.outcome, verdict.status)
+            await self._async_send_ending(exchange, active, _as_possibly_run(verdict))
             return
         identified = active.prepared.identified
         await self._async_settle(active, verdict.outcome, verdict.status)
         await self._async_refuse(exchange, verdict, identified, active.request_id)
 
-    async def _async_step(self, exchange: Exchange, active: ActiveRequest) -> Verdict:
-        grant = await async_wait(active, self._context)
+    async def _async_attempt(
+        self, exchange: Exchange, active: ActiveRequest
+    ) -> Verdict:
+        grant = await async_wait_for_grant(active, self._context)
         if isinstance(grant, Ending):
             return grant
         attempt = Attempt(
             exchange,
             active,
             self._context,
-            self._claimant,
+            self._claim_client,
             self._may_repeat(active),
         )
         verdict = await attempt.async_run(grant)
@@ -188,41 +195,41 @@
             log_attempt(active, verdict)
             if verdict.reason in NOTHING_SENT:
                 # Nothing was sent, so it costs nothing of the budget of repeats.
-                active.note_tried(verdict.upstream)
-                await self._async_give_back(active, grant, verdict)
+                active.requeue_unsent(verdict.upstream)
+                await self._async_return_grant(active, grant, verdict)
                 return verdict
             if verdict.ran:
-                active.mark_lost(verdict.upstream)
+                active.requeue_after_run(verdict.upstream)
             elif active.may_have_run:
-                active.mark_not_run(verdict.upstream)
+                active.requeue_not_run(verdict.upstream)
             else:
-                active.note_tried(verdict.upstream)
-            if not await self._async_take_repeat(active):
-                return await self._async_give_up(active, grant, verdict)
+                active.requeue_unsent(verdict.upstream)
+            if not await self._async_reserve_repeat(active):
+                return await self._async_refuse_retry(active, grant, verdict)
             self._context.metrics.count(const.METRIC_RETRIES)
-        await self._async_give_back(active, grant, verdict)
+        await self._async_return_grant(active, grant, verdict)
         return verdict
 
     def _may_repeat(self, active: ActiveRequest) -> bool:
         room = self.retries.has_room(active.pool)
         return room and self._admission.has_quota_for_repeat(active)
 
-    async def _async_take_repeat(self, active: ActiveRequest) -> bool:
+    async def _async_reserve_repeat(self, active: ActiveRequest) -> bool:
         """Take what another attempt needs of its pool's budget and of a quota."""
         held = await self._admission.async_hold_repeat(active)
         return held and self.retries.spend(active.pool)
 
-    async def _async_give_up(
+    async def _async_refuse_retry(
         self, active: ActiveRequest, grant: GrantReceived, verdict: Retry
     ) -> Ending:
         """End a request that is proved not to have run and may not be sent again."""
         self._context.metrics.count(const.METRIC_RETRIES_REFUSED)
-        await self._registry.async_return(
+        await self._registry.async_return_grant(
             active.request_id, grant, verdict.reason, False
         )
-        return come_back(Reason.NOT_ADMITTED)
+        return retry_later(Reason.NOT_ADMITTED)
 
-    async def _async_give_back(
+    async def _async_return_grant(
         self, active: ActiveRequest, grant: GrantReceived, verdict: Verdict
     ) -> None:
         if isinstance(verdict, Retry):
@@ -233,19 +240,21 @@
             reason, waiting = Reason.CLAIM_RUNNING, False
         else:
             return
-        await self._registry.async_return(active.request_id, grant, reason, waiting)
+        await self._registry.async_return_grant(
+            active.request_id, grant, reason, waiting
+        )
 
-    async def _async_follow(
+    async def _async_follow_claim(
         self, exchange: Exchange, active: ActiveRequest, found: ClaimFound
     ) -> Ending | None:
         """Relay an earlier copy's stream; an ending when there is none to relay."""
         if not active.prepared.estimate.streamed or not found.address:
-            return ending_of(found)
+            return claim_ending(found)
         active.followed_id = found.request_id
         active.address = found.address
-        relayed = await Relay(exchange, active, self._context).async_from_start()
+        relayed = await Relay(exchange, active, self._context).async_resume_from_start()
         if relayed is None:
-            return ending_of(found)
+            return claim_ending(found)
         self._context.metrics.count(const.METRIC_CLAIMS_FOLLOWED)
         return None
 
@@ -256,16 +265,16 @@
         if not active.claimed:
             return
         action = ACTION_VOID if outcome is Outcome.NOT_RUN else ACTION_FINISH
-        await self._claimant.async_settle(active, action, outcome, status)
+        await self._claim_client.async_settle(active, action, outcome, status)
 
-    async def _async_account(
+    async def _async_record_end(
         self, active: ActiveRequest, outcome: Outcome, status: int
     ) -> None:
-        account.count_response(self._context, active, outcome)
+        accounting.count_response(self._context, active, outcome)
         log_end(active, outcome, status, self._context.clock.now())
         await self._async_settle(active, outcome, status)
-        told = account.outcome_for_owner(outcome, status)
-        await account.async_tell_owner(self._context, active, told)
+        told = accounting.outcome_for_owner(outcome, status)
+        await accounting.async_report_end(self._context, active, told)
 
     async def _async_caller_gone(self, active: ActiveRequest) -> None:
         """Stop the work of a caller that has left: at the upstream, or in the queue."""
@@ -276,15 +285,15 @@
         log_end(active, outcome, 0, self._context.clock.now())
         if not active.may_have_run:
             await self._async_settle(active, Outcome.NOT_RUN, 0)
-            await async_cancel(active, self._context)
+            await async_cancel_registration(active, self._context)
             return
         active.phase = Phase.ENDED
         await self._context.dialect.async_cancel_work(active)
-        account.count_response(self._context, active, Outcome.UNKNOWN)
+        accounting.count_response(self._context, active, Outcome.UNKNOWN)
         await self._async_settle(active, Outcome.UNKNOWN, 0)
-        await account.async_tell_owner(self._context, active, outcome)
+        await accounting.async_report_end(self._context, active, outcome)
 
-    async def _async_end(
+    async def _async_send_ending(
         self, exchange: Exchange, active: ActiveRequest, ending: Ending
     ) -> None:
         """Tell a request's ending, by a cut where its answer has begun."""
@@ -299,16 +308,16 @@
         self,
         exchange: Exchange,
         ending: Ending,
-        identified: Identified | None,
+        identified: IdentifiedRequest | None,
         request_id: str,
     ) -> None:
-        account.count_refusal(self._context, ending, identified)
+        accounting.count_refusal(self._context, ending, identified)
         log_refusal(self._context, ending, identified, request_id)
         headers, body = self._context.dialect.refusal(ending, request_id)
         await exchange.async_respond(ending.status, headers, body)
 
 
-async def _async_watch(exchange: Exchange) -> None:
+async def _async_wait_caller_gone(exchange: Exchange) -> None:
     """Return when the caller leaves before its answer is finished.
 
     A caller that closes right after the last byte has not left: the request is
@@ -316,10 +325,10 @@
     """
     await exchange.connection.async_watch()
     while exchange.finished:
-        await curio.sleep(WATCH_PAUSE)
+        await curio.sleep(FINISHED_POLL)
 
 
-def _as_run(ending: Ending) -> Ending:
+def _as_possibly_run(ending: Ending) -> Ending:
     """Return the ending of a request that an earlier attempt may have run.
 
     Whatever ended the waiting for another attempt, not-run would be untrue.
--- a/bitterntiller/components/entry/quota.py
+++ b/bitterntiller/components/entry/quota.py
@@ -31,7 +31,7 @@
 anew never settles or uses one of before."""
 
 
-class Hold(NamedTuple):
+class QuotaHold(NamedTuple):
     """What is held of a quota for one request.
 
     number is that of the reservation at the ledger, 0 for a hold from what was lent.
@@ -101,7 +101,7 @@
         self._number = random.getrandbits(NUMBER_BITS)
         self._sent_by_workspace: dict[str, deque[_Sent]] = {}
         self._settled: deque[_Settled] = deque()
-        self._holds: set[Hold] = set()
+        self._holds: set[QuotaHold] = set()
         self._asked_at_by_workspace: dict[str, float] = {}
         self._told = AcknowledgedPositions()
 
@@ -110,7 +110,7 @@
         self._number += 1
         return self._number
 
-    def hold_lent(self, workspace: Workspace, amount: int) -> Hold | None:
+    def hold_lent(self, workspace: Workspace, amount: int) -> QuotaHold | None:
         """Hold an amount of what was lent to this host, None where it doesn't fit."""
         self._asked_at_by_workspace[workspace.name] = self._clock.now()
         level = self._level_by_workspace.get(workspace.name)
@@ -119,15 +119,15 @@
         left = level._replace(lent=level.lent - amount)
         self._level_by_workspace[workspace.name] = left
         # Each hold has a number of its own, as those of reservations do.
-        hold = Hold(workspace.name, amount, "", self.number())
+        hold = QuotaHold(workspace.name, amount, "", self.number())
         self._holds.add(hold)
         return hold
 
     def hold_reserved(
         self, workspace: Workspace, amount: int, ledger: str, number: int
-    ) -> Hold:
+    ) -> QuotaHold:
         """Hold what a ledger has reserved under a number of this host."""
-        hold = Hold(workspace.name, amount, ledger, number)
+        hold = QuotaHold(workspace.name, amount, ledger, number)
         self._holds.add(hold)
         return hold
 
@@ -151,13 +151,13 @@
         """Return all that a quota allows in one window."""
         return self._window.limit(quota.rate, quota.burst)
 
-    def release(self, hold: Hold) -> None:
+    def release(self, hold: QuotaHold) -> None:
         """Give back what was held for a request that ends without a sending."""
         self._holds.discard(hold)
         if hold.ledger:
             self._settle(hold.ledger, hold.number)
 
-    def spend(self, workspace: Workspace, amount: int, hold: Hold | None) -> None:
+    def spend(self, workspace: Workspace, amount: int, hold: QuotaHold | None) -> None:
         """Count a sending, for which its amount or nothing was held."""
         if workspace.quota is None:
             return
--- a/bitterntiller/components/entry/quota_client.py
+++ b/bitterntiller/components/entry/quota_client.py
@@ -6,7 +6,7 @@
 
 from bitterntiller.components.config.models import Workspace
 from bitterntiller.components.entry import const
-from bitterntiller.components.entry.quota import Hold, QuotaAccount
+from bitterntiller.components.entry.quota import QuotaAccount, QuotaHold
 from bitterntiller.components.links.errors import LinkError
 from bitterntiller.core.clock import Clock
 from bitterntiller.core.interfaces import Links, Ownership
@@ -47,7 +47,7 @@
     """
 
     wait: float | None
-    hold: Hold | None = None
+    hold: QuotaHold | None = None
     counted: bool = True
     left: int = 0
     paced: int = 0
@@ -125,11 +125,11 @@
         """Tell whether async_hold_repeat would probably hold an amount now."""
         return self._account.has_room_for_repeat(workspace, amount)
 
-    def release(self, hold: Hold) -> None:
+    def release(self, hold: QuotaHold) -> None:
         """Give back what was held for a request that ends without a sending."""
         self._account.release(hold)
 
-    def spend(self, workspace: Workspace, amount: int, hold: Hold | None) -> None:
+    def spend(self, workspace: Workspace, amount: int, hold: QuotaHold | None) -> None:
         """Count a sending, for which its amount or nothing was held."""
         self._account.spend(workspace, amount, hold)
 
--- a/bitterntiller/components/entry/waiting.py
+++ b/bitterntiller/components/entry/registration.py
@@ -10,8 +10,8 @@
     GrantReceived,
     RefusalReceived,
 )
+from bitterntiller.components.entry.owner_messages import register_message
 from bitterntiller.components.entry.registry import LeaseLost
-from bitterntiller.components.entry.wire import register_message
 from bitterntiller.core.outcomes import Ending, Outcome, Reason
 from bitterntiller.protocol import messages
 
@@ -23,14 +23,16 @@
 UNAVAILABLE = 503
 
 
-async def async_wait(active: ActiveRequest, context: Context) -> GrantReceived | Ending:
+async def async_wait_for_grant(
+    active: ActiveRequest, context: Context
+) -> GrantReceived | Ending:
     """Return the owner's grant, or the ending of a request that was given up."""
     deadline = active.prepared.identified.deadline
     begun = context.clock.now()
     while True:
         now = context.clock.now()
         if now >= deadline:
-            await async_cancel(active, context)
+            await async_cancel_registration(active, context)
             return _not_run(Reason.TOO_LATE, const.DEFAULT_RETRY_AFTER)
         if active.owner is None and now - begun > const.OWNER_WAIT:
             return _not_run(Reason.NO_OWNER, const.DEFAULT_RETRY_AFTER)
@@ -41,11 +43,11 @@
         if isinstance(event, RefusalReceived):
             return _refused(event)
         if isinstance(event, LeaseLost):
-            await async_cancel(active, context)
+            await async_cancel_registration(active, context)
             return _not_run(Reason.NO_LEASE, const.DEFAULT_RETRY_AFTER)
 
 
-async def async_cancel(active: ActiveRequest, context: Context) -> None:
+async def async_cancel_registration(active: ActiveRequest, context: Context) -> None:
     """Tell the owner that the request waits no more."""
     if active.owner is None:
         return
--- a/bitterntiller/components/entry/registry.py
+++ b/bitterntiller/components/entry/registry.py
@@ -5,14 +5,14 @@
 
 from bitterntiller.components.entry import const
 from bitterntiller.components.entry.context import Context
-from bitterntiller.components.entry.endings import Endings
+from bitterntiller.components.entry.ended_requests import EndedRequestLog
 from bitterntiller.components.entry.models import (
     ActiveRequest,
     GrantReceived,
     Phase,
     RefusalReceived,
 )
-from bitterntiller.components.entry.wire import returned_message, running_item
+from bitterntiller.components.entry.owner_messages import returned_message, running_item
 from bitterntiller.core.interfaces import Ownership
 from bitterntiller.protocol import messages
 
@@ -35,7 +35,7 @@
     def __init__(self, context: Context) -> None:
         self._context = context
         self.by_id: dict[str, ActiveRequest] = {}
-        self.endings = Endings()
+        self.ended_requests = EndedRequestLog()
         self._add_listeners: list[Callable[[], Awaitable[None]]] = []
 
     def add_listener(self, listener: Callable[[], Awaitable[None]]) -> None:
@@ -52,7 +52,7 @@
         """Forget a request that has ended."""
         active.phase = Phase.ENDED
         self.by_id.pop(active.request_id, None)
-        self.endings.note(active.request_id, self._context.clock.now())
+        self.ended_requests.note(active.request_id, self._context.clock.now())
 
     def pools(self) -> set[str]:
         """Return the pools for which requests are live here."""
@@ -79,13 +79,17 @@
             # A caller that left, or a second grant after a failover: without the
             # return the owner would count the slot as used until it lapses.
             self._context.metrics.count(const.METRIC_STALE_GRANTS)
-            await self.async_return(message.request_id, grant, RETURN_UNWANTED, False)
+            await self.async_return_grant(
+                message.request_id, grant, RETURN_UNWANTED, False
+            )
             return
         if owner is not None and message.epoch < owner.epoch:
             # An owner that was stopped does not know yet that it has lost the
             # pool; work under its grants would come on top of the new owner's.
             self._context.metrics.count(const.METRIC_STALE_GRANTS)
-            await self.async_return(message.request_id, grant, RETURN_UNWANTED, False)
+            await self.async_return_grant(
+                message.request_id, grant, RETURN_UNWANTED, False
+            )
             return
         await active.mailbox.put(grant)
 
@@ -97,7 +101,7 @@
         event = RefusalReceived(message.reason, message.retry_after_ms / 1000)
         await active.mailbox.put(event)
 
-    async def async_return(
+    async def async_return_grant(
         self, request_id: str, grant: GrantReceived, reason: str, waiting: bool
     ) -> None:
         """Give a grant back to the owner that issued it."""
--- a/bitterntiller/components/entry/relay.py
+++ b/bitterntiller/components/entry/relay.py
@@ -49,15 +49,15 @@
         """
         streams = is_event_stream(head) and head.status == STATUS_OK
         if self._active.route is not None and not streams:
-            return await self._async_buffered(client, head)
+            return await self._async_relay_buffered(client, head)
         if not self._exchange.started:
             headers = self._context.dialect.response_headers(self._active, head)
             await self._exchange.async_start(head.status, headers)
-        await client.async_guard(self._silence())
+        await client.async_guard(self._idle_timeout())
         if streams and not self._bodyless:
-            whole = await self._async_events(client)
+            whole = await self._async_relay_stream(client)
         else:
-            whole = await self._async_body(client)
+            whole = await self._async_relay_body(client)
         if not whole and self._active.repeatable and self._resumable():
             return Retry(self._active.upstream, LOST_RESPONSE, ran=True)
         await self._async_end(whole)
@@ -72,7 +72,7 @@
         self._context.metrics.count(const.METRIC_CUT)
         await self._exchange.async_cut()
 
-    def _silence(self) -> float:
+    def _idle_timeout(self) -> float:
         """Return after how many seconds without a byte a stream counts as broken."""
         route = self._active.route
         if route is None or not self._active.repeatable or not route.pause:
@@ -83,7 +83,7 @@
         stream = self._active.stream
         return stream is not None and stream.resumable
 
-    async def _async_buffered(
+    async def _async_relay_buffered(
         self, client: ClientExchange, head: ResponseHead
     ) -> RelayResult | Retry:
         """Relay an answer once it is whole, so that a broken one shows no head.
@@ -98,7 +98,7 @@
                 parts.append(data)
                 size += len(data)
                 if size > const.BUFFERED_BYTES:
-                    return await self._async_unbuffered(client, head, parts)
+                    return await self._async_relay_oversized(client, head, parts)
         except BrokenAnswerError:
             return Retry(self._active.upstream, LOST_RESPONSE, ran=True)
         self._note_first_byte()
@@ -107,14 +107,14 @@
         await self._exchange.async_respond(head.status, headers, b"".join(parts))
         return RelayResult(True, head.status)
 
-    async def _async_unbuffered(
+    async def _async_relay_oversized(
         self, client: ClientExchange, head: ResponseHead, parts: list[bytes]
     ) -> RelayResult:
         headers = self._context.dialect.response_headers(self._active, head)
         await self._exchange.async_start(head.status, headers)
         self._note_first_byte()
         await self._exchange.async_send(b"".join(parts))
-        whole = await self._async_body(client)
+        whole = await self._async_relay_body(client)
         await self._async_end(whole)
         return RelayResult(whole, head.status)
 
@@ -122,7 +122,7 @@
         if self._active.first_byte_at is None:
             self._active.first_byte_at = self._context.clock.now()
 
-    async def _async_body(self, client: ClientExchange) -> bool:
+    async def _async_relay_body(self, client: ClientExchange) -> bool:
         try:
             while True:
                 data = await client.async_data()
@@ -133,27 +133,27 @@
         except BrokenAnswerError:
             return False
 
-    async def _async_events(self, client: ClientExchange) -> bool:
+    async def _async_relay_stream(self, client: ClientExchange) -> bool:
         routed = self._active.route is not None
         stream = self._active.stream
         if stream is not None:
             # The part of an event with which the stream broke off comes again, whole.
-            stream.await_next()
+            stream.begin_resume()
         else:
-            stream = EventStream(ends_with_message=routed)
+            stream = EventStream(ends_with_response=routed)
         if routed:
             self._active.stream = stream
-        if await self._async_follow(client, stream):
+        if await self._async_relay_events(client, stream):
             return True
         # A routed stream goes on at whichever upstream the owner of its pool names.
         return False if routed else await self._async_resume(stream)
 
-    async def async_from_start(self) -> RelayResult | None:
+    async def async_resume_from_start(self) -> RelayResult | None:
         """Relay a stream by resume from its start, after its head was lost.
 
         None when the upstream has no such stream; nothing was sent to the caller.
         """
-        client = await self._async_open(0)
+        client = await self._async_open_resume(0)
         if client is None:
             return None
         head = ResponseHead(STATUS_OK, [(b"content-type", EVENT_STREAM.encode())])
@@ -163,7 +163,7 @@
         finally:
             await client.async_close()
 
-    async def _async_open(self, last_id: int) -> ClientExchange | None:
+    async def _async_open_resume(self, last_id: int) -> ClientExchange | None:
         client = await async_open_resume(
             self._active,
             last_id,
@@ -178,27 +178,29 @@
         for _ in range(const.RESUME_ATTEMPTS):
             if not stream.resumable:
                 break
-            stream.await_next()
-            client = await self._async_open(stream.last_id)
+            stream.begin_resume()
+            client = await self._async_open_resume(stream.last_id)
             if client is None:
                 await curio.sleep(const.RESUME_DELAY)
                 continue
             await client.async_guard(self._idle)
             try:
-                if await self._async_follow(client, stream):
+                if await self._async_relay_events(client, stream):
                     return True
             finally:
                 await client.async_close()
         self._context.metrics.count(const.METRIC_RESUME_FAILED)
         return False
 
-    async def _async_follow(self, client: ClientExchange, stream: EventStream) -> bool:
+    async def _async_relay_events(
+        self, client: ClientExchange, stream: EventStream
+    ) -> bool:
         """Relay whole events; True when the end of the stream has been passed on."""
         try:
             while not stream.ended:
                 data = await client.async_data()
                 if data is None:
-                    return stream.end_of_message()
+                    return stream.is_complete_at_eof()
                 events = stream.feed(data)
                 if events.data:
                     self._note_first_byte()
--- a/bitterntiller/components/entry/receive.py
+++ b/bitterntiller/components/entry/request_parsing.py
@@ -3,14 +3,14 @@
 import uuid
 
 from bitterntiller.components.entry import const
-from bitterntiller.components.entry.models import Received
+from bitterntiller.components.entry.models import ReceivedRequest
 from bitterntiller.components.http.models import RequestHead, header
 from bitterntiller.core.outcomes import Ending, Outcome, Reason
 
 _BEARER = "bearer "
 
 
-def receive(head: RequestHead, now: float) -> Received | Ending:
+def parse_request(head: RequestHead, now: float) -> ReceivedRequest | Ending:
     """Return the request's own headers, or an ending for malformed ones."""
     headers = head.headers
     deadline_text = header(headers, const.HEADER_DEADLINE)
@@ -22,7 +22,7 @@
     key = header(headers, const.HEADER_IDEMPOTENCY_KEY) or ""
     if len(key) > const.MAX_KEY_LENGTH:
         return _bad(f"Idempotency-Key is over {const.MAX_KEY_LENGTH} characters")
-    return Received(
+    return ReceivedRequest(
         request_id=uuid.uuid4().hex,
         head=head,
         token=_bearer(header(headers, const.HEADER_AUTHORIZATION) or ""),
--- a/bitterntiller/components/entry/routing.py
+++ b/bitterntiller/components/entry/routing.py
@@ -10,22 +10,24 @@
     Tier,
     Workspace,
 )
-from bitterntiller.components.entry.models import Identified, Received
-from bitterntiller.components.entry.tokens import workspace_of
+from bitterntiller.components.entry.authentication import find_workspace_by_token
+from bitterntiller.components.entry.models import IdentifiedRequest, ReceivedRequest
 from bitterntiller.core.outcomes import Ending, Outcome, Reason
 
 NOBODY = Workspace("", (), "", (), Selector(), {})
 """The workspace of requests that need no token."""
 
 
-def identify_by_route(received: Received, config: Config) -> Identified | Ending:
+def identify_by_route(
+    received: ReceivedRequest, config: Config
+) -> IdentifiedRequest | Ending:
     """Return the request with its route, workspace, service, tier and deadline."""
     route = find_route(received.host, received.head.path, config)
     if route is None:
         return _refusal(Reason.NO_SUCH_SERVICE, 404, "no route matches")
     workspace = NOBODY
     if config.workspaces_by_name and not route.public:
-        found = workspace_of(received.token, config)
+        found = find_workspace_by_token(received.token, config)
         if found is None:
             return _refusal(Reason.UNAUTHORIZED, 401, "no workspace has this token")
         workspace = found
@@ -33,7 +35,7 @@
     seconds = route.timeout
     if received.deadline_ms is not None:
         seconds = min(seconds, received.deadline_ms / 1000)
-    return Identified(
+    return IdentifiedRequest(
         received=received,
         workspace=workspace,
         service=service,
--- a/bitterntiller/components/entry/send_checks.py
+++ b/bitterntiller/components/entry/send_checks.py
@@ -1,21 +1,21 @@
 """The checks at the moment of sending."""
 
 from bitterntiller.components.entry import const
-from bitterntiller.components.entry.context import DepartedView
+from bitterntiller.components.entry.context import DepartingView
 from bitterntiller.components.entry.models import GrantReceived
 from bitterntiller.components.rollouts.const import LABEL_VERSION
 from bitterntiller.core.interfaces import Lease, VersionsView
 from bitterntiller.core.outcomes import Reason
 
-LAPSED_GRANT = "expired"
-LAPSED_LEASE = "lease"
+GRANT_EXPIRED = "expired"
+LEASE_EXPIRED = "lease"
 UPSTREAM_LEFT = "upstream-left"
 VERSION_WITHDRAWN = "version-withdrawn"
 NOTHING_SENT = frozenset({UPSTREAM_LEFT, VERSION_WITHDRAWN})
 """Reasons for which an upstream was passed over before anything was sent to it."""
 
 
-def lapsed(
+def check_expiry(
     grant: GrantReceived, deadline: float, lease: Lease, now: float
 ) -> str | None:
     """Return what has run out, None when the request may be sent.
@@ -27,15 +27,15 @@
     if now >= deadline:
         return Reason.TOO_LATE
     if now >= grant.valid_until - const.GRANT_MARGIN:
-        return LAPSED_GRANT
+        return GRANT_EXPIRED
     if not lease.valid():
-        return LAPSED_LEASE
+        return LEASE_EXPIRED
     return None
 
 
-def withheld(
+def check_upstream(
     grant: GrantReceived,
-    upstreams: DepartedView | None,
+    upstreams: DepartingView | None,
     versions: VersionsView | None,
 ) -> str | None:
     """Return why an upstream gets nothing more though it was granted, None if it does.
@@ -46,7 +46,7 @@
     """
     if upstreams is None:
         return None
-    if upstreams.left(grant.upstream):
+    if upstreams.is_departing(grant.upstream):
         return UPSTREAM_LEFT
     labels = upstreams.labels(grant.upstream)
     if versions is None or not labels or versions.may_run(grant.pool, labels):
@@ -54,7 +54,7 @@
     return VERSION_WITHDRAWN
 
 
-def version_of(grant: GrantReceived, upstreams: DepartedView | None) -> str:
+def version_of(grant: GrantReceived, upstreams: DepartingView | None) -> str:
     """Return the version of an upstream's software, empty where it isn't known."""
     if upstreams is None:
         return ""
--- a/bitterntiller/components/entry/sse.py
+++ b/bitterntiller/components/entry/sse.py
@@ -7,7 +7,7 @@
 from bitterntiller.components.entry.const import MAX_TOKENS
 from bitterntiller.core.errors import CodedError
 
-END_MARKS = (b"data: [DONE]", b"data:[DONE]")
+END_MARKERS = (b"data: [DONE]", b"data:[DONE]")
 MAX_EVENT_BYTES = 1024 * 1024
 _EVENT_END = b"\n\n"
 _ANY_EVENT_END = re.compile(rb"\r?\n\r?\n")
@@ -38,13 +38,13 @@
     the ids of its events grow by any step.
     """
 
-    def __init__(self, ends_with_message: bool = False) -> None:
-        self._ends_with_message = ends_with_message
+    def __init__(self, ends_with_response: bool = False) -> None:
+        self._ends_with_response = ends_with_response
         self.last_id = 0
         self.ended = False
         self.cached_tokens: int | None = None
         self._partial = b""
-        self._passed_on = False
+        self._forwarded = False
         self._check_next = False
 
     @property
@@ -54,7 +54,7 @@
         A stream without ids could be had again from its start only, and the
         caller would get its first part twice in an answer that looks whole.
         """
-        return self.last_id > 0 or not self._passed_on
+        return self.last_id > 0 or not self._forwarded
 
     def feed(self, data: bytes) -> Events:
         """Take bytes and return the whole events that they complete.
@@ -63,7 +63,7 @@
         or an event is over MAX_EVENT_BYTES.
         """
         text = self._partial + data if self._partial else data
-        end = _last_end(text)
+        end = _end_of_last_event(text)
         if end < 0:
             if len(text) > MAX_EVENT_BYTES:
                 raise BrokenStreamError(f"an event over {MAX_EVENT_BYTES} bytes")
@@ -73,20 +73,20 @@
         whole = text[:end]
         return Events(whole, self._note(whole))
 
-    def await_next(self) -> None:
+    def begin_resume(self) -> None:
         """Forget a part of an event, and let only the next one come first."""
         self._partial = b""
         self._check_next = True
 
-    def end_of_message(self) -> bool:
+    def is_complete_at_eof(self) -> bool:
         """Tell whether the stream is whole when its answer ends here."""
-        return self.ended or (self._ends_with_message and not self._partial)
+        return self.ended or (self._ends_with_response and not self._partial)
 
     def _note(self, whole: bytes) -> int:
         events = _split(whole)
         if self._check_next:
             self._check(events)
-        marked = not self._ends_with_message and whole.find(b"[DONE]") >= 0
+        marked = not self._ends_with_response and whole.find(b"[DONE]") >= 0
         if marked and any(map(_is_end, events)):
             self.ended = True
         for event in reversed(events):
@@ -96,7 +96,7 @@
                 break
         if _USAGE in whole:
             self._note_usage(events)
-        self._passed_on = True
+        self._forwarded = True
         return len(events)
 
     def _check(self, events: list[bytes]) -> None:
@@ -110,7 +110,7 @@
             if number is None:
                 continue
             expected = self.last_id + 1
-            late = self._ends_with_message and number > expected
+            late = self._ends_with_response and number > expected
             if number != expected and not late:
                 raise BrokenStreamError(f"event {number} follows {self.last_id}")
             self._check_next = False
@@ -127,7 +127,7 @@
                 self.cached_tokens = tokens
 
 
-def _last_end(text: bytes) -> int:
+def _end_of_last_event(text: bytes) -> int:
     """Return the place behind the last event's end, -1 when none has ended."""
     end = text.rfind(_EVENT_END)
     if b"\r" not in text:
@@ -143,7 +143,7 @@
 
 
 def _is_end(event: bytes) -> bool:
-    return any(line.rstrip() in END_MARKS for line in event.split(b"\n"))
+    return any(line.rstrip() in END_MARKERS for line in event.split(b"\n"))
 
 
 def _event_id(event: bytes) -> int | None:
--- a/bitterntiller/components/node/upstreams.py
+++ b/bitterntiller/components/node/upstreams.py
@@ -41,7 +41,7 @@
         announced = self.by_name.get(name)
         return {} if announced is None else announced.labels
 
-    def left(self, name: str) -> bool:
+    def is_departing(self, name: str) -> bool:
         """Tell whether an upstream leaves or has left; False for an unheard one."""
         announced = self.by_name.get(name)
         if announced is None:
--- a/tests/components/entry/deployment.py
+++ b/tests/components/entry/deployment.py
@@ -7,7 +7,7 @@
 import curio
 
 from bitterntiller.components.config.models import Config
-from bitterntiller.components.entry.claiming import Claimant
+from bitterntiller.components.entry.claiming import ClaimClient
 from bitterntiller.components.entry.context import Context
 from bitterntiller.components.entry.coordinator import EntryCoordinator
 from bitterntiller.components.entry.rate_limits import RateLimitCache
@@ -124,7 +124,7 @@
             rate_limits=RateLimitCache(),
         )
         coordinator = EntryCoordinator(
-            context, Limits(**limits), Claimant(context, "i1")
+            context, Limits(**limits), ClaimClient(context, "i1")
         )
         links.coordinator = coordinator
         served = serving(coordinator.pipeline.async_serve)
--- a/tests/components/entry/fakes.py
+++ b/tests/components/entry/fakes.py
@@ -16,9 +16,9 @@
     ActiveRequest,
     Estimate,
     GrantReceived,
-    Identified,
-    Prepared,
-    Received,
+    IdentifiedRequest,
+    PreparedRequest,
+    ReceivedRequest,
 )
 from bitterntiller.components.http.models import RequestHead
 from bitterntiller.components.settings.models import Timings
@@ -151,10 +151,10 @@
 def active_request(clock: ManualClock, method: str = "POST") -> ActiveRequest:
     head = RequestHead(method, "/bonds", [], b"1.1")
     now = clock.now()
-    received = Received("r1", head, TOKEN, "", None, "", now)
+    received = ReceivedRequest("r1", head, TOKEN, "", None, "", now)
     deadline = now + 30
-    identified = Identified(received, WORKSPACE, SERVICE, TIER, deadline, False)
-    return ActiveRequest(Prepared(identified, b"{}", Estimate(1, 1, (), False)))
+    identified = IdentifiedRequest(received, WORKSPACE, SERVICE, TIER, deadline, False)
+    return ActiveRequest(PreparedRequest(identified, b"{}", Estimate(1, 1, (), False)))
 
 
 def grant(clock: ManualClock, address: str) -> GrantReceived:
--- a/tests/components/entry/quota_hosts.py
+++ b/tests/components/entry/quota_hosts.py
@@ -15,7 +15,7 @@
 from bitterntiller.components.dispatch.quota_queue import Ask
 from bitterntiller.components.dispatch.quotas import QuotaState
 from bitterntiller.components.dispatch.retry_reservations import Refused
-from bitterntiller.components.entry.quota import Hold, QuotaAccount
+from bitterntiller.components.entry.quota import QuotaAccount, QuotaHold
 from bitterntiller.components.settings.models import QuotaWindow
 from bitterntiller.core.clock import ManualClock
 from bitterntiller.protocol import messages
@@ -77,7 +77,7 @@
         retry_fingerprint: int | None = None,
         latest_retry: float = COMEBACK,
         kind: str = "",
-    ) -> Hold | Refused | Ask:
+    ) -> QuotaHold | Refused | Ask:
         """Have a host ask for an amount; an Ask waits in the line."""
         account = self.accounts[host]
         hold = account.hold_lent(self.owner, amount)
@@ -102,7 +102,7 @@
         decision = counter.ask(ask, self.basis(name), now)
         return ask if decision is None else self.take(decision, name)
 
-    def take(self, decision: QuotaDecision, name: str = COUNTER) -> Hold | Refused:
+    def take(self, decision: QuotaDecision, name: str = COUNTER) -> QuotaHold | Refused:
         """Have the host that asked hear a decision."""
         if decision.refused is not None:
             return decision.refused
@@ -118,7 +118,7 @@
     def send(self, host: int, amount: int) -> bool:
         """Have a host send a request; tell whether the quota let it through."""
         hold = self.ask(host, amount)
-        if not isinstance(hold, Hold):
+        if not isinstance(hold, QuotaHold):
             return False
         self.accounts[host].spend(self.owner, amount, hold)
         return True
@@ -253,8 +253,8 @@
         else:
             self._decided(host, request, found)
 
-    def _decided(self, host: int, request: Request, found: Hold | Refused) -> None:
-        if isinstance(found, Hold):
+    def _decided(self, host: int, request: Request, found: QuotaHold | Refused) -> None:
+        if isinstance(found, QuotaHold):
             self._shared.accounts[host].spend(self._shared.owner, request.size, found)
             self._sent[-1] += request.size
             if request.retry_fingerprint > 0:
--- a/tests/components/entry/test_admission_checks.py
+++ b/tests/components/entry/test_admission_checks.py
@@ -34,7 +34,7 @@
 
     async def run():
         made, lease = entrance(held=False)
-        waiting = await curio.spawn(made.async_lease_due)
+        waiting = await curio.spawn(made.async_wait_for_lease)
         await curio.sleep(0.05)
         assert not waiting.terminated
         lease.held = True
@@ -51,8 +51,8 @@
     async def run():
         made, _ = entrance(held=False)
         async with curio.timeout_after(0.5):
-            await made.async_lease_due()
-        ending = made.unready(draining=False)
+            await made.async_wait_for_lease()
+        ending = made.check_ready(draining=False)
         assert ending.reason is Reason.NO_LEASE
         after = ending.retry_after / const.NO_LEASE_RETRY_AFTER
         least, most = const.NO_LEASE_SPREAD
@@ -67,10 +67,10 @@
 
     async def run():
         made, lease = entrance(held=True)
-        await made.async_lease_due()
+        await made.async_wait_for_lease()
         lease.held = False
         await curio.sleep(seconds + 0.01)
         async with curio.timeout_after(const.LEASE_WAIT / 2):
-            await made.async_lease_due()
+            await made.async_wait_for_lease()
 
     curio.run(run)
--- a/tests/components/entry/test_attempt.py
+++ b/tests/components/entry/test_attempt.py
@@ -8,7 +8,7 @@
 import pytest
 
 from bitterntiller.components.entry.attempt import Attempt
-from bitterntiller.components.entry.claiming import Claimant
+from bitterntiller.components.entry.claiming import ClaimClient
 from bitterntiller.components.entry.context import Context
 from bitterntiller.components.entry.models import RelayResult, Retry
 from bitterntiller.components.entry.send_checks import (
@@ -57,7 +57,7 @@
 
     async def async_main() -> Any:
         async with upstream(answer, got) as address:
-            tried = Attempt(exchange, active, context, Claimant(context, "i1"))
+            tried = Attempt(exchange, active, context, ClaimClient(context, "i1"))
             return await tried.async_run(fakes.grant(clock, address))
 
     return curio.run(async_main), got, exchange
@@ -133,7 +133,7 @@
     async def async_main() -> Any:
         async with upstream(WHOLE, got) as address:
             tried = Attempt(
-                fakes.FakeExchange(), active, context, Claimant(context, "i1")
+                fakes.FakeExchange(), active, context, ClaimClient(context, "i1")
             )
             return await tried.async_run(fakes.grant(clock, address))
 
@@ -151,7 +151,7 @@
     def __init__(self, *leaving: str) -> None:
         self._leaving = leaving
 
-    def left(self, name: str) -> bool:
+    def is_departing(self, name: str) -> bool:
         return name in self._leaving
 
     def labels(self, name: str) -> dict[str, str]:
@@ -167,7 +167,7 @@
     async def async_main() -> Any:
         async with upstream(answer, got) as address:
             tried = Attempt(
-                fakes.FakeExchange(), active, context, Claimant(context, "i1")
+                fakes.FakeExchange(), active, context, ClaimClient(context, "i1")
             )
             return await tried.async_run(fakes.grant(clock, address))
 
--- a/tests/components/entry/test_edges.py
+++ b/tests/components/entry/test_edges.py
@@ -16,9 +16,12 @@
 )
 from bitterntiller.components.entry.estimate import estimate
 from bitterntiller.components.entry.identify import identify
-from bitterntiller.components.entry.models import Identified, Received
-from bitterntiller.components.entry.receive import receive
-from bitterntiller.components.entry.refuse import refusal_body, refusal_headers
+from bitterntiller.components.entry.models import IdentifiedRequest, ReceivedRequest
+from bitterntiller.components.entry.refusal_responses import (
+    refusal_body,
+    refusal_headers,
+)
+from bitterntiller.components.entry.request_parsing import parse_request
 from bitterntiller.components.http.models import RequestHead
 from bitterntiller.core.outcomes import Ending, Outcome, Reason
 
@@ -40,19 +43,19 @@
     return Config(1, {"llm": service}, tiers, {"wards": workspace}, {digest: workspace})
 
 
-def ask(path: str, **headers: str) -> Identified | Ending:
+def ask(path: str, **headers: str) -> IdentifiedRequest | Ending:
     named = {"authorization": f"Bearer {TOKEN}"} | headers
     lines = [(name.replace("_", "-").encode(), v.encode()) for name, v in named.items()]
-    received = receive(RequestHead("POST", path, lines, b"1.1"), 5.0)
-    assert isinstance(received, Received)
+    received = parse_request(RequestHead("POST", path, lines, b"1.1"), 5.0)
+    assert isinstance(received, ReceivedRequest)
     return identify(received, config())
 
 
 @given(HEADERS, st.text(st.characters(min_codepoint=33, max_codepoint=126)))
 def test_any_headers_give_a_request_or_an_ending(headers, path):
     head = RequestHead("POST", "/" + path, headers, b"1.1")
-    received = receive(head, 5.0)
-    if isinstance(received, Received):
+    received = parse_request(head, 5.0)
+    if isinstance(received, ReceivedRequest):
         received = identify(received, config())
     if isinstance(received, Ending):
         assert received.outcome is Outcome.NOT_RUN
@@ -61,7 +64,7 @@
 
 def test_token_beyond_ascii():
     """A workspace whose token has an umlaut is refused with 401 everywhere."""
-    assert isinstance(ask("/v1/chat"), Identified)
+    assert isinstance(ask("/v1/chat"), IdentifiedRequest)
 
 
 @pytest.mark.parametrize(
@@ -80,7 +83,7 @@
 
 
 def test_path_with_dots_in_names():
-    assert isinstance(ask("/v1/a.b/..c/v1.2"), Identified)
+    assert isinstance(ask("/v1/a.b/..c/v1.2"), IdentifiedRequest)
 
 
 def test_tier_only_up_to_the_own_one():
--- a/tests/components/entry/test_endings.py
+++ b/tests/components/entry/test_ended_requests.py
@@ -5,7 +5,7 @@
 import curio
 
 from bitterntiller.components.dispatch.reports import ReportReceiver
-from bitterntiller.components.entry.endings import GRACE_SECONDS, Endings
+from bitterntiller.components.entry.ended_requests import GRACE_SECONDS, EndedRequestLog
 from bitterntiller.protocol import messages
 from tests.components.dispatch import messages_builders as build
 from tests.components.dispatch.fakes import FakeDirectory, FakeRuntime, coordinator
@@ -121,27 +121,27 @@
 
 
 def test_ending_is_told_until_a_report_is_answered():
-    endings = Endings()
-    endings.note("r1", NOW)
-    assert endings.unacknowledged(OWNER, (), NOW).request_ids == []
-    first = endings.unacknowledged(OWNER, (), LATER)
+    log = EndedRequestLog()
+    log.note("r1", NOW)
+    assert log.unacknowledged(OWNER, (), NOW).request_ids == []
+    first = log.unacknowledged(OWNER, (), LATER)
     assert first.request_ids == ["r1"]
-    assert endings.unacknowledged(OWNER, (), LATER) == first
-    endings.note_acknowledged(OWNER, first)
-    assert endings.unacknowledged(OWNER, (), LATER).request_ids == []
-    assert endings.unacknowledged("core-1/i2", (), LATER).request_ids == ["r1"]
+    assert log.unacknowledged(OWNER, (), LATER) == first
+    log.note_acknowledged(OWNER, first)
+    assert log.unacknowledged(OWNER, (), LATER).request_ids == []
+    assert log.unacknowledged("core-1/i2", (), LATER).request_ids == ["r1"]
 
 
 def test_request_that_has_begun_again_is_not_told_as_ended():
     """A caller sends an id once more; its second request must not be forgotten."""
-    endings = Endings()
-    endings.note("r1", NOW)
-    assert endings.unacknowledged(OWNER, {"r1"}, LATER).request_ids == []
+    log = EndedRequestLog()
+    log.note("r1", NOW)
+    assert log.unacknowledged(OWNER, {"r1"}, LATER).request_ids == []
 
 
 def test_endings_are_kept_for_a_bounded_time():
-    endings = Endings()
+    log = EndedRequestLog()
     for number in range(1000):
-        endings.note(f"r{number}", NOW + 0.1 * number)
-    told = endings.unacknowledged(OWNER, (), NOW + 100.0)
+        log.note(f"r{number}", NOW + 0.1 * number)
+    told = log.unacknowledged(OWNER, (), NOW + 100.0)
     assert 100 <= len(told.request_ids) <= 125
--- a/tests/components/entry/test_guards.py
+++ b/tests/components/entry/test_guards.py
@@ -7,7 +7,7 @@
 
 from bitterntiller.components.entry.budget import HostBudget
 from bitterntiller.components.entry.errors import SentTwiceError
-from bitterntiller.components.entry.send_checks import lapsed
+from bitterntiller.components.entry.send_checks import check_expiry
 from bitterntiller.components.settings.models import Limits
 from bitterntiller.core.clock import ManualClock
 from bitterntiller.core.outcomes import Outcome
@@ -53,7 +53,7 @@
     grant = fakes.grant(clock, "127.0.0.1:1")
     end = clock.now() + deadline
     clock.advance(seconds)
-    assert lapsed(grant, end, lease, clock.now()) == reason
+    assert check_expiry(grant, end, lease, clock.now()) == reason
 
 
 def test_second_sending_stops_the_process():
@@ -63,7 +63,7 @@
     active.mark_sending(fakes.grant(clock, "127.0.0.1:1"))
     with pytest.raises(SentTwiceError):
         active.mark_sending(fakes.grant(clock, "127.0.0.1:2"))
-    active.mark_not_run("p1")
+    active.requeue_not_run("p1")
     active.mark_sending(fakes.grant(clock, "127.0.0.1:2"))
     assert active.tried == ("p1",)
 
@@ -174,12 +174,12 @@
     """A gold report is refused because bronze uploads have filled the host."""
     budget = HostBudget(Limits(waiting_bytes=1000, reserved_fraction=0.25))
     identified = fakes.active_request(ManualClock()).prepared.identified
-    assert budget.take(identified, 750, 2, 3) is None
-    assert budget.take(identified, 1, 2, 3).outcome is Outcome.NOT_RUN
-    assert budget.take(identified, 125, 1, 3) is None
-    assert budget.take(identified, 1, 1, 3) is not None
-    assert budget.take(identified, 125, 0, 3) is None
-    assert budget.take(identified, 1, 0, 3) is not None
+    assert budget.reserve(identified, 750, 2, 3) is None
+    assert budget.reserve(identified, 1, 2, 3).outcome is Outcome.NOT_RUN
+    assert budget.reserve(identified, 125, 1, 3) is None
+    assert budget.reserve(identified, 1, 1, 3) is not None
+    assert budget.reserve(identified, 125, 0, 3) is None
+    assert budget.reserve(identified, 1, 0, 3) is not None
 
 
 def test_broken_stream_without_ids_is_cut():
--- a/tests/components/entry/test_limit_reports.py
+++ b/tests/components/entry/test_limit_reports.py
@@ -5,7 +5,7 @@
 import curio
 
 from bitterntiller.components.entry.attempt import Attempt
-from bitterntiller.components.entry.claiming import Claimant
+from bitterntiller.components.entry.claiming import ClaimClient
 from bitterntiller.components.entry.rate_limits import RateLimitCache, ReportedLimit
 from bitterntiller.core.clock import ManualClock
 from bitterntiller.protocol import messages
@@ -35,7 +35,7 @@
     async def async_main() -> None:
         async with upstream(answer, []) as address:
             tried = Attempt(
-                fakes.FakeExchange(), active, context, Claimant(context, "i1")
+                fakes.FakeExchange(), active, context, ClaimClient(context, "i1")
             )
             await tried.async_run(
                 fakes.grant(clock, address)._replace(rate_limited=rate_limited)
--- a/tests/components/entry/test_quota.py
+++ b/tests/components/entry/test_quota.py
@@ -9,7 +9,7 @@
     FORGET_RESERVATION_SECONDS,
     QuotaLedger,
 )
-from bitterntiller.components.entry.quota import Hold, QuotaAccount
+from bitterntiller.components.entry.quota import QuotaAccount, QuotaHold
 from bitterntiller.components.settings.models import REPEAT_PART, QuotaWindow
 from bitterntiller.core.clock import ManualClock
 from tests.components.entry.quota_hosts import COUNTER, QuotaHosts, workspace
@@ -144,7 +144,7 @@
         shared.clock.advance(0.1)
         for host in range(HOSTS):
             asked = [shared.ask(host, 50) for _ in range(4)]
-            held += 50 * sum(isinstance(found, Hold) for found in asked)
+            held += 50 * sum(isinstance(found, QuotaHold) for found in asked)
         shared.report()
     assert 0.9 * LIMIT <= held <= LIMIT
 
@@ -153,7 +153,7 @@
     """A workspace is refused for a window after its requests were given up unsent."""
     shared = QuotaHosts(WORKSPACE, WINDOW, HOSTS)
     holds = []
-    while isinstance(hold := shared.ask(0, 250), Hold):
+    while isinstance(hold := shared.ask(0, 250), QuotaHold):
         holds.append(hold)
     assert not shared.send(1, 250)
     for hold in holds:
@@ -171,7 +171,7 @@
     host wakes up its requests are sent as if nothing had been.
     """
     shared = five_hosts()
-    held = sum(isinstance(shared.ask(0, 100), Hold) for _ in range(60)) * 100
+    held = sum(isinstance(shared.ask(0, 100), QuotaHold) for _ in range(60)) * 100
     shared.forget(0)
     sent = 0
     for _ in range(39):
@@ -212,7 +212,7 @@
 def test_reservation_that_nobody_settles_is_given_back_after_a_while():
     """Each answer that is lost takes something from a workspace for good."""
     shared = QuotaHosts(WORKSPACE, WINDOW, HOSTS)
-    assert isinstance(shared.ask(0, 500), Hold)
+    assert isinstance(shared.ask(0, 500), QuotaHold)
     shared.clock.advance(FORGET_RESERVATION_SECONDS + 1)
     shared.counter.ledger.forget_old(shared.clock.now())
     assert shared.state().left == LIMIT
--- a/tests/components/entry/test_quota_queue.py
+++ b/tests/components/entry/test_quota_queue.py
@@ -14,7 +14,7 @@
     RETURN_GRACE_SECONDS,
     Refused,
 )
-from bitterntiller.components.entry.quota import Hold
+from bitterntiller.components.entry.quota import QuotaHold
 from bitterntiller.components.settings.models import QuotaWindow
 from tests.components.entry.quota_hosts import QuotaHosts, workspace
 
@@ -52,7 +52,7 @@
 def test_line_serves_in_the_order_of_arrival():
     """A newcomer overtakes those who wait, as what has come back is enough for it."""
     shared = QuotaHosts(WORKSPACE, WINDOW, HOSTS)
-    while isinstance(shared.ask(0, 100), Hold):
+    while isinstance(shared.ask(0, 100), QuotaHold):
         continue
     waiting = [shared.ask(host, 100, patience=1.0) for host in (1, 2, 3)]
     assert all(isinstance(found, Ask) for found in waiting)
@@ -68,7 +68,7 @@
 def test_request_that_would_wait_too_long_is_refused_at_once():
     """A caller hears only after its objective that it can't be served."""
     shared = QuotaHosts(WORKSPACE, WINDOW, HOSTS)
-    while isinstance(shared.ask(0, 100), Hold):
+    while isinstance(shared.ask(0, 100), QuotaHold):
         continue
     waiting = 0
     while isinstance(found := shared.ask(1, 100, patience=0.3), Ask):
@@ -83,7 +83,7 @@
     The quota was lowered after it had joined.
     """
     shared = QuotaHosts(WORKSPACE, WINDOW, HOSTS)
-    while isinstance(shared.ask(0, 100), Hold):
+    while isinstance(shared.ask(0, 100), QuotaHold):
         continue
     assert isinstance(shared.ask(1, 100, patience=0.2), Ask)
     shared.counter.ledger.note("wards", 2000, 0.0, shared.clock.now())
@@ -95,7 +95,7 @@
 
 def test_quota_that_is_taken_away_lets_the_line_through():
     shared = QuotaHosts(WORKSPACE, WINDOW, HOSTS)
-    while isinstance(shared.ask(0, 100), Hold):
+    while isinstance(shared.ask(0, 100), QuotaHold):
         continue
     assert isinstance(shared.ask(1, 100, patience=0.2), Ask)
     free = CONFIG._replace(workspaces_by_name={"wards": WORKSPACE._replace(quota=None)})
@@ -129,12 +129,12 @@
         shared.clock.advance(0.05)
         for _ in range(3):
             hold = shared.ask(0, 100, kind="prompts")
-            if isinstance(hold, Hold):
+            if isinstance(hold, QuotaHold):
                 shared.accounts[0].spend(WORKSPACE, 100, hold)
         hold = shared.ask(1, 5, kind="lookups")
-        if isinstance(hold, Hold):
+        if isinstance(hold, QuotaHold):
             shared.accounts[1].spend(WORKSPACE, 5, hold)
-        refused += not isinstance(hold, Hold)
+        refused += not isinstance(hold, QuotaHold)
         shared.report()
     assert refused <= 4
 
@@ -143,7 +143,7 @@
     shared: QuotaHosts, retry_fingerprint: int, latest_retry: float = 4.0
 ) -> Refused:
     """Use the quota up and have a request refused."""
-    while isinstance(shared.ask(0, 100), Hold):
+    while isinstance(shared.ask(0, 100), QuotaHold):
         continue
     found = shared.ask(
         1, 100, retry_fingerprint=retry_fingerprint, latest_retry=latest_retry
@@ -158,15 +158,15 @@
     found = refuse(shared, retry_fingerprint=-1)
     assert found.retry_reserved
     shared.clock.advance(found.retry_after / 2)
-    while isinstance(shared.ask(0, 20), Hold):
+    while isinstance(shared.ask(0, 20), QuotaHold):
         continue
     early = shared.ask(1, 100, retry_fingerprint=-1)
     assert isinstance(early, Refused)
     assert early.retry_after == pytest.approx(found.retry_after / 2)
     shared.clock.advance(early.retry_after - EARLY_SECONDS / 2)
-    while isinstance(shared.ask(0, 20), Hold):
+    while isinstance(shared.ask(0, 20), QuotaHold):
         continue
-    assert isinstance(shared.ask(1, 100, retry_fingerprint=-1), Hold)
+    assert isinstance(shared.ask(1, 100, retry_fingerprint=-1), QuotaHold)
 
 
 def test_room_that_nobody_returns_for_is_given_back():
@@ -175,9 +175,9 @@
     found = refuse(shared, retry_fingerprint=-1)
     shared.clock.advance(found.retry_after + RETURN_GRACE_SECONDS + 0.01)
     late = shared.ask(1, 100, retry_fingerprint=-1)
-    assert isinstance(late, Hold)
+    assert isinstance(late, QuotaHold)
     left = shared.state().left
-    assert isinstance(shared.ask(1, 100, retry_fingerprint=-1), Hold)
+    assert isinstance(shared.ask(1, 100, retry_fingerprint=-1), QuotaHold)
     assert shared.state().left == left - 100
 
 
--- a/tests/components/entry/test_sse.py
+++ b/tests/components/entry/test_sse.py
@@ -46,7 +46,7 @@
     data = stream_of(texts)
     stream = EventStream()
     first = stream.feed(data[: place % len(data)]).data
-    stream.await_next()
+    stream.begin_resume()
     behind = stream_of(texts).split(b"\n\n")[stream.last_id :]
     rest = b"" if stream.ended else stream.feed(b"\n\n".join(behind)).data
     assert first + rest == data
@@ -67,7 +67,7 @@
     """
     stream = EventStream()
     stream.feed(event(1, "a") + event(2, "b"))
-    stream.await_next()
+    stream.begin_resume()
     with pytest.raises(BrokenStreamError):
         stream.feed(event(1, "a"))
 
--- a/tests/components/node/test_upstreams.py
+++ b/tests/components/node/test_upstreams.py
@@ -18,13 +18,13 @@
     """Hosts forget an upstream that has left, and take an old grant for it as good."""
     upstreams = NodeUpstreams()
     upstreams.apply(listed(1, e1="ready", e2="ready"))
-    assert not upstreams.left("e1")
+    assert not upstreams.is_departing("e1")
     upstreams.apply(listed(2, e1="leaving", e2="ready"))
-    assert upstreams.left("e1")
+    assert upstreams.is_departing("e1")
     upstreams.apply(listed(3, e2="ready"))
-    assert upstreams.left("e1")
-    assert not upstreams.left("e2")
-    assert not upstreams.left("unheard")
+    assert upstreams.is_departing("e1")
+    assert not upstreams.is_departing("e2")
+    assert not upstreams.is_departing("unheard")
 
 
 def test_upstream_that_comes_back_has_not_left():
@@ -32,12 +32,12 @@
     upstreams.apply(listed(1, e1="ready"))
     upstreams.apply(listed(2))
     upstreams.apply(listed(3, e1="ready"))
-    assert not upstreams.left("e1")
+    assert not upstreams.is_departing("e1")
 
 
 def test_upstreams_that_are_gone_are_forgotten_in_the_end():
     upstreams = NodeUpstreams()
     for version in range(1, MOST_GONE + 10):
         upstreams.apply(listed(version, **{f"e{version}": "ready"}))
-    assert not upstreams.left("e1")
-    assert upstreams.left(f"e{MOST_GONE}")
+    assert not upstreams.is_departing("e1")
+    assert upstreams.is_departing(f"e{MOST_GONE}")
--- a/tests/platform/builders.py
+++ b/tests/platform/builders.py
@@ -8,7 +8,7 @@
 from bitterntiller_platform.configuration import parse_configuration
 from bitterntiller_platform.interface import PlatformInterface
 
-from bitterntiller.components.entry.claiming import Claimant
+from bitterntiller.components.entry.claiming import ClaimClient
 from bitterntiller.components.entry.context import Context, QuotaGate
 from bitterntiller.components.entry.coordinator import EntryCoordinator
 from bitterntiller.components.entry.response_times import ResponseTimes
@@ -221,7 +221,7 @@
             quota=quota,
             response_times=ResponseTimes(),
         )
-        coordinator = EntryCoordinator(context, Limits(), Claimant(context, "i1"))
+        coordinator = EntryCoordinator(context, Limits(), ClaimClient(context, "i1"))
         links.coordinator = coordinator
         served = serving(coordinator.pipeline.async_serve)
         _, port = await stack.enter_async_context(served)
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -45,15 +45,15 @@
 def test_any_headers_of_a_caller_can_be_read(value):
     names = (b"x-token-usage", b"x-length-hint", b"x-prefix-hash", b"x-deadline-ms")
     head = request(*((name, value) for name in names))
-    PlatformInterface().receive(head, 0.0)
+    PlatformInterface().parse_request(head, 0.0)
 
 
 def test_numbers_of_a_caller_are_bounded():
     head = request((b"x-token-usage", HUGE + b",7"), (b"x-length-hint", HUGE))
-    work = PlatformInterface().receive(head, 0.0).work
+    work = PlatformInterface().parse_request(head, 0.0).work
     assert (work.prompt_tokens, work.output_tokens) == (MAX_HEADER_NUMBER, 7)
     odd = request((b"x-token-usage", SUPERSCRIPT_TWO + b",7"))
-    assert PlatformInterface().receive(odd, 0.0).work is None
+    assert PlatformInterface().parse_request(odd, 0.0).work is None
 
 
 @pytest.mark.parametrize(
