--- a/bitterntiller/components/replication/const.py
+++ b/bitterntiller/components/replication/const.py
@@ -37,7 +37,7 @@
 DEFAULT_SNAPSHOT_BYTES = 32 * 1024 * 1024
 """Bytes of applied entries after which the log is cut, however few they are."""
 
-DEFAULT_RETURN_GRACE = 2.0
+DEFAULT_STARTUP_CHECK_GRACE = 2.0
 """Seconds a returning replica waits for the answers of all other voters."""
 
 DEFAULT_FIRST_ELECTION = 0.04
--- a/bitterntiller/components/replication/coordinator.py
+++ b/bitterntiller/components/replication/coordinator.py
@@ -26,7 +26,7 @@
 from .members import find
 from .models import Effects, Entry, ReturnCheck, Tuning
 from .outbox import Outbox
-from .repairs import Repairs
+from .repairer import Repairer
 from .state import Role
 from .storage import Storage
 from .waiters import Waiters
@@ -58,7 +58,7 @@
         self._writer = LogWriter(
             runtime, storage, lambda: self._replica, self._wake.set
         )
-        self._repairs = Repairs(
+        self._repairer = Repairer(
             runtime.clock,
             lambda: self._replica,
             self,
@@ -69,8 +69,8 @@
         self._applied_bytes = 0
         self._snapshot_bytes = 0
         self._led = False
-        self._returned = False
-        self._asked_from_by_host: dict[str, str] = {}
+        self._startup_check_done = False
+        self._reply_address_by_host: dict[str, str] = {}
         self._leader_known = curio.Event()
         self._initial = machine.snapshot()
         self.failure: BrokenInvariantError | None = None
@@ -86,7 +86,7 @@
         for cls in WIRE_TYPES:
             stack.callback(links.handle(cls, self._async_receive))
         stack.callback(links.handle(messages.Join, self._joiner.async_on_join))
-        stack.callback(links.handle(messages.Repair, self._repairs.async_on_repair))
+        stack.callback(links.handle(messages.Repair, self._repairer.async_on_repair))
         tasks = (self._writer.async_run, self._async_run, self._async_tick)
         for run in (*tasks, self._joiner.async_run):
             await self._runtime.async_spawn(self._async_guarded(run))
@@ -108,7 +108,7 @@
     async def async_confirm(self, timeout: float) -> int | None:
         """Return a read index confirmed by a quorum, once it is applied."""
         token = self._waiters.new_token()
-        if self.failure or not self._replica.ask_read(token):
+        if self.failure or not self._replica.request_read_index(token):
             return None
         read = self._waiters.add_read(token)
         await self._wake.set()
@@ -174,7 +174,7 @@
             self._runtime.metrics.count("replication.wrong_sender")
             return
         if isinstance(plain, ReturnCheck):
-            self._asked_from_by_host[host] = plain.address
+            self._reply_address_by_host[host] = plain.address
         try:
             self._replica.receive(plain, self._runtime.clock.now())
         except BrokenInvariantError as error:
@@ -193,7 +193,7 @@
             now = self._runtime.clock.now()
             self._writer.note_stall(now)
             self._replica.tick(now)
-            self._repairs.step(now)
+            self._repairer.step(now)
             await self._async_carry_out(self._replica.take(now))
 
     async def _async_carry_out(self, effects: Effects) -> None:
@@ -212,7 +212,7 @@
         for outcome in effects.reads:
             await self._waiters.async_read(outcome, self._applied)
         await self._waiters.async_advance(self._applied)
-        self._note_return()
+        self._report_startup_check()
         await self._async_note_role()
         self._snapshot_if_due()
         if effects.committed:
@@ -226,14 +226,14 @@
         self._applied_bytes += len(entry.data)
         await self._waiters.async_applied(entry.index, entry.term, result)
 
-    def _note_return(self) -> None:
+    def _report_startup_check(self) -> None:
         """Log that the other voters have answered what they remember of this one."""
-        returning = self._replica.state.returning
-        if returning.done == self._returned:
+        startup_check = self._replica.state.startup_check
+        if startup_check.done == self._startup_check_done:
             return
-        self._returned = returning.done
-        if returning.done:
-            seconds = round(self._runtime.clock.now() - returning.began, 3)
+        self._startup_check_done = startup_check.done
+        if startup_check.done:
+            seconds = round(self._runtime.clock.now() - startup_check.started_at, 3)
             events.emit("voters-answered", after=seconds, term=self._replica.state.term)
 
     async def _async_note_role(self) -> None:
@@ -248,7 +248,7 @@
         self._led = leads
         logging.info("term %d: leader %s", self._replica.state.term, leads)
         if not leads:
-            self._repairs.forget()
+            self._repairer.clear_commands()
             await self._waiters.async_fail()
 
     def _snapshot_if_due(self) -> None:
@@ -289,14 +289,14 @@
     def _address_of(self, replica: str) -> str:
         state = self._replica.state
         member = find(state.members, replica)
-        if member is None and not state.returning.done:
-            member = find(state.returning.newest_members(state.members), replica)
+        if member is None and not state.startup_check.done:
+            member = find(state.startup_check.newest_membership(state.members), replica)
         if member is not None:
             return member.address
         # An empty learner has no membership yet to find its leader in, or those who
         # ask what it remembers.
         known = self._joiner.address_by_replica.get(replica, "")
-        return known or self._asked_from_by_host.get(host_of(replica), "")
+        return known or self._reply_address_by_host.get(host_of(replica), "")
 
 
 def _tuning(runtime: Runtime) -> Tuning:
--- a/bitterntiller/components/replication/core.py
+++ b/bitterntiller/components/replication/core.py
@@ -8,7 +8,7 @@
 import random
 from collections.abc import Iterable
 
-from . import election, following, leading, returning
+from . import election, following, leading, startup_check
 from .const import VOTE_BARRED, EntryKind
 from .errors import SafetyError
 from .members import encode_members
@@ -21,9 +21,9 @@
     Mark,
     Member,
     Message,
+    PersistentState,
     PreVote,
     PreVoteReply,
-    Restored,
     ReturnCheck,
     ReturnCheckReply,
     SnapshotPiece,
@@ -59,10 +59,10 @@
     """A replica of the log; now is in seconds of a clock that never goes back."""
 
     def __init__(
-        self, restored: Restored, tuning: Tuning, rng: random.Random, now: float
+        self, restored: PersistentState, tuning: Tuning, rng: random.Random, now: float
     ) -> None:
         self.state = State(restored, tuning, rng, now)
-        returning.on_tick(self.state, now)
+        startup_check.on_tick(self.state, now)
 
     def form(self, members: Iterable[Member]) -> None:
         """Begin a new deployment's log with its first membership."""
@@ -80,7 +80,7 @@
         if state.role is Role.LEADER:
             leading.on_tick(state, now)
             return
-        returning.on_tick(state, now)
+        startup_check.on_tick(state, now)
         if now >= state.deadline:
             election.on_deadline(state, now)
 
@@ -109,9 +109,9 @@
                     state.follow(message.term, "", now)
                 election.on_pre_vote_reply(state, message, now)
             case ReturnCheck():
-                returning.on_check(state, message)
+                startup_check.on_check(state, message)
             case ReturnCheckReply():
-                returning.on_check_reply(state, message, now)
+                startup_check.on_check_reply(state, message, now)
 
     def _receive_in_term(self, message: Message, now: float) -> None:
         state = self.state
@@ -165,9 +165,9 @@
         """Append a command; None when it is certainly not in the log."""
         return leading.propose(self.state, data)
 
-    def ask_read(self, token: int) -> bool:
+    def request_read_index(self, token: int) -> bool:
         """Ask for a confirmed read index; False when this is no leader."""
-        return leading.ask_read(self.state, token)
+        return leading.request_read_index(self.state, token)
 
     def change_members(
         self, members: Iterable[Member], now: float
--- a/bitterntiller/components/replication/diagnostics.py
+++ b/bitterntiller/components/replication/diagnostics.py
@@ -4,7 +4,7 @@
 
 from . import const
 from .members import quorum
-from .repair import is_sound, survives
+from .repair_decisions import failure_tolerance, is_healthy
 from .state import Role, State
 
 
@@ -27,8 +27,8 @@
         const.ATTR_LAST: state.log.last_index,
         const.ATTR_STABLE: state.stable,
         const.ATTR_SNAPSHOT: state.snapshot.index if state.snapshot else 0,
-        const.ATTR_SURVIVES: survives(state, now),
-        "may_vote": state.returning.done,
+        const.ATTR_SURVIVES: failure_tolerance(state, now),
+        "may_vote": state.startup_check.done,
         "retired": state.retired,
         "leader_heard_s_ago": round(now - state.heard, 3),
         const.ATTR_COUNTERS: dict(state.counters),
@@ -49,6 +49,6 @@
     described["match_index"] = progress.match
     described["lag"] = state.log.last_index - progress.match
     described["heard_s_ago"] = round(now - progress.contact, 3)
-    described["sound"] = is_sound(state, replica, now)
+    described["sound"] = is_healthy(state, replica, now)
     described["snapshot_offset"] = progress.snapshot_offset if progress.snapshot else -1
     return described
--- a/bitterntiller/components/replication/election.py
+++ b/bitterntiller/components/replication/election.py
@@ -13,7 +13,7 @@
     That is its own log, and since its start the furthest log of its peers.
     """
     own = (state.log.last_term, state.log.last_index)
-    return (last_term, last_index) >= max(own, state.returning.floor)
+    return (last_term, last_index) >= max(own, state.startup_check.vote_floor)
 
 
 def may_vote_for(state: State, candidate: str) -> bool:
@@ -23,7 +23,7 @@
 
 def may_campaign(state: State) -> bool:
     """Tell whether this replica may try to become the leader."""
-    if state.stalled or not (_may_be_needed(state) and state.returning.done):
+    if state.stalled or not (_may_be_needed(state) and state.startup_check.done):
         return False
     return is_up_to_date(state, state.log.last_term, state.log.last_index)
 
@@ -72,7 +72,7 @@
     )
     granted = (
         not hears_leader
-        and state.returning.done
+        and state.startup_check.done
         and message.term > state.term
         and is_up_to_date(state, message.last_term, message.last_index)
     )
@@ -107,7 +107,7 @@
     """Vote at most once a term, and only for a log that lacks nothing."""
     granted = (
         message.term == state.term
-        and state.returning.done
+        and state.startup_check.done
         and may_vote_for(state, message.candidate)
         and is_up_to_date(state, message.last_term, message.last_index)
     )
--- a/bitterntiller/components/replication/following.py
+++ b/bitterntiller/components/replication/following.py
@@ -55,7 +55,7 @@
         match,
         hint,
         message.round,
-        state.returning.done,
+        state.startup_check.done,
         state.hard.boot,
     )
     state.hold(message.leader, reply)
@@ -91,7 +91,7 @@
         size,
         message.round,
         done,
-        state.returning.done,
+        state.startup_check.done,
         state.hard.boot,
     )
     state.hold(message.leader, reply)
--- a/bitterntiller/components/replication/identity.py
+++ b/bitterntiller/components/replication/identity.py
@@ -13,7 +13,7 @@
 
 from .const import VERDICT_FINE, VERDICT_REMOVED, VERDICT_STALE
 from .members import decode_members, find, quorum, voters
-from .models import Mark, Members, ReturnCheck, ReturnCheckReply
+from .models import Mark, Membership, ReturnCheck, ReturnCheckReply
 
 _RANDOM_BITS = 20
 
@@ -27,11 +27,13 @@
     return (boot >> _RANDOM_BITS) + 1 << _RANDOM_BITS | rng.getrandbits(_RANDOM_BITS)
 
 
-def _is_other_start(boot: int, known: int) -> bool:
+def _is_concurrent_boot(boot: int, known: int) -> bool:
     return boot != known and boot >> _RANDOM_BITS == known >> _RANDOM_BITS
 
 
-def judge(check: ReturnCheck, mark: Mark, members: Members, commit: int) -> str:
+def verify_identity(
+    check: ReturnCheck, mark: Mark, members: Membership, commit: int
+) -> str:
     """Return the verdict on a replica that has started.
 
     members is what the judging replica holds, in force once commit has
@@ -43,7 +45,7 @@
     if check.boot == mark.boot:
         # Promises heard since the start; the question may come after them.
         return VERDICT_FINE
-    if check.boot < mark.boot or _is_other_start(check.boot, mark.boot):
+    if check.boot < mark.boot or _is_concurrent_boot(check.boot, mark.boot):
         return VERDICT_STALE
     if check.term < mark.term:
         return VERDICT_STALE
@@ -59,31 +61,31 @@
     return replica.rpartition("/")[0]
 
 
-class ReturnState:
+class StartupCheck:
     """The answers that a replica has got since it began to ask."""
 
     def __init__(self, now: float) -> None:
-        self.began = now
+        self.started_at = now
         self.done = False
-        self.floor = (0, 0)
-        self._answers_by_voter: dict[str, ReturnCheckReply] = {}
+        self.vote_floor = (0, 0)
+        self._replies_by_voter: dict[str, ReturnCheckReply] = {}
 
-    def answer(self, reply: ReturnCheckReply) -> None:
+    def add_reply(self, reply: ReturnCheckReply) -> None:
         """Note the answer of a peer."""
-        self._answers_by_voter[reply.voter] = reply
+        self._replies_by_voter[reply.voter] = reply
 
-    def newest_members(self, own: Members) -> Members:
+    def newest_membership(self, own: Membership) -> Membership:
         """Return the newest membership known from the log or the answers."""
         known = [own]
-        for reply in self._answers_by_voter.values():
+        for reply in self._replies_by_voter.values():
             known.append(decode_members(reply.members_index, reply.members))
         return max(known, key=lambda members: members.index)
 
-    def missing(self, replica: str, members: Members) -> set[str]:
+    def unanswered_voters(self, replica: str, members: Membership) -> set[str]:
         """Return the other voters that have not answered."""
-        return set(voters(members)) - {replica} - set(self._answers_by_voter)
+        return set(voters(members)) - {replica} - set(self._replies_by_voter)
 
-    def enough(self, replica: str, members: Members, late: bool) -> bool:
+    def is_sufficient(self, replica: str, members: Membership, late: bool) -> bool:
         """Tell whether the answers suffice.
 
         All other voters must have answered. Once it is late, as many suffice as
@@ -94,20 +96,24 @@
         """
         if not members.index:
             return False
-        missing = self.missing(replica, members)
-        if not missing:
+        unanswered_voters = self.unanswered_voters(replica, members)
+        if not unanswered_voters:
             return True
-        answered = set(voters(members)) - {replica} - missing
-        late = late or self._are_replaced(missing, members)
+        answered = set(voters(members)) - {replica} - unanswered_voters
+        late = late or self._are_replaced(unanswered_voters, members)
         return late and len(answered) + 1 >= quorum(members)
 
-    def _are_replaced(self, missing: set[str], members: Members) -> bool:
-        others = set(self._answers_by_voter) - set(voters(members))
-        return {host_of(voter) for voter in missing} <= set(map(host_of, others))
+    def _are_replaced(self, unanswered_voters: set[str], members: Membership) -> bool:
+        others = set(self._replies_by_voter) - set(voters(members))
+        return {host_of(voter) for voter in unanswered_voters} <= set(
+            map(host_of, others)
+        )
 
-    def finish(self) -> int:
+    def complete(self) -> int:
         """End the asking; return the highest term among the answers."""
-        replies = self._answers_by_voter.values()
+        replies = self._replies_by_voter.values()
         self.done = True
-        self.floor = max(((r.last_term, r.last_index) for r in replies), default=(0, 0))
+        self.vote_floor = max(
+            ((r.last_term, r.last_index) for r in replies), default=(0, 0)
+        )
         return max((reply.term for reply in replies), default=0)
--- a/bitterntiller/components/replication/join_decisions.py
+++ b/bitterntiller/components/replication/join_decisions.py
@@ -24,8 +24,8 @@
 from .core import Replica
 from .members import decode_members, find
 from .models import Member
-from .repair import joined
-from .returning import doubt
+from .repair_decisions import with_learner
+from .startup_check import reset_progress
 from .state import Role, State
 
 
@@ -86,7 +86,7 @@
     """
     progress = state.progress_by_replica.get(replica)
     if progress is not None and progress.match:
-        doubt(state, replica)
+        reset_progress(state, replica)
 
 
 def answer(replica: Replica, own: LocalReplica, join: Any, now: float) -> Any:
@@ -108,7 +108,7 @@
         hear_empty(state, join.replica)
     if present is not None and present.address == join.address:
         return messages.JoinReply(JOIN_ACCEPTED, own.address, *own)
-    after = joined(state.members, join.replica, join.host, join.address)
+    after = with_learner(state.members, join.replica, join.host, join.address)
     if after is None:
         return messages.JoinReply(JOIN_FULL, own.address, *own)
     replica.change_members(after, now)
--- a/bitterntiller/components/replication/leading.py
+++ b/bitterntiller/components/replication/leading.py
@@ -20,7 +20,7 @@
     TimeoutNow,
 )
 from .progress import Progress
-from .reads import Reads
+from .read_index import PendingReads
 from .state import Role, State
 
 
@@ -32,7 +32,7 @@
     state.role = Role.LEADER
     state.leader = state.replica
     state.beat = now
-    state.reads = Reads()
+    state.pending_reads = PendingReads()
     state.progress_by_replica = {}
     state.count("terms_led")
     state.settled = _add(state, EntryKind.NOOP, b"").index
@@ -91,12 +91,12 @@
     }
 
 
-def ask_read(state: State, token: int) -> bool:
+def request_read_index(state: State, token: int) -> bool:
     """Ask for a read index; False when this replica doesn't lead."""
     if state.role is not Role.LEADER:
         return False
     first = state.log.first_of_term_at(state.log.last_index)
-    state.reads.ask(token, max(state.commit, first))
+    state.pending_reads.add_request(token, max(state.commit, first))
     return True
 
 
@@ -104,7 +104,7 @@
     """Send what has gathered: a round for reads, or new entries."""
     if state.role is not Role.LEADER:
         return
-    if state.reads.begin_round():
+    if state.pending_reads.begin_round():
         sending.broadcast(state, now)
         _confirm_round(state)
         return
@@ -238,8 +238,8 @@
 
 def _confirm_round(state: State) -> None:
     rounds = {r: p.round for r, p in state.progress_by_replica.items()}
-    confirmed = _held_by_quorum(state, state.reads.round, rounds)
-    state.read_outcomes += state.reads.confirmed(confirmed)
+    confirmed = _held_by_quorum(state, state.pending_reads.round, rounds)
+    state.read_outcomes += state.pending_reads.resolve(confirmed)
 
 
 def _held_by_quorum(state: State, own: int, value_by_replica: dict[str, int]) -> int:
--- a/bitterntiller/components/replication/members.py
+++ b/bitterntiller/components/replication/members.py
@@ -3,9 +3,9 @@
 import json
 from collections.abc import Iterable
 
-from .models import Member, Members
+from .models import Member, Membership
 
-NO_MEMBERS = Members(0, ())
+EMPTY_MEMBERSHIP = Membership(0, ())
 
 
 def encode_members(members: Iterable[Member]) -> bytes:
@@ -13,29 +13,29 @@
     return json.dumps([list(member) for member in members]).encode()
 
 
-def decode_members(index: int, data: bytes) -> Members:
+def decode_members(index: int, data: bytes) -> Membership:
     """Return the membership that an entry of kind MEMBERS holds."""
     if not data:
-        return NO_MEMBERS
-    return Members(index, tuple(Member(*item) for item in json.loads(data)))
+        return EMPTY_MEMBERSHIP
+    return Membership(index, tuple(Member(*item) for item in json.loads(data)))
 
 
-def voters(members: Members) -> tuple[str, ...]:
+def voters(members: Membership) -> tuple[str, ...]:
     """Return the ids of the voters."""
     return tuple(member.replica for member in members.all if member.voter)
 
 
-def quorum(members: Members) -> int:
+def quorum(members: Membership) -> int:
     """Return how many voters decide."""
     return len(voters(members)) // 2 + 1
 
 
-def find(members: Members, replica: str) -> Member | None:
+def find(members: Membership, replica: str) -> Member | None:
     """Return the member with that id."""
     return next((m for m in members.all if m.replica == replica), None)
 
 
-def is_single_change(old: Members, new: Iterable[Member]) -> bool:
+def is_single_change(old: Membership, new: Iterable[Member]) -> bool:
     """Tell whether the sets of voters differ by at most one replica.
 
     Any quorum of the one then shares a replica with any quorum of the other,
--- a/bitterntiller/components/replication/models.py
+++ b/bitterntiller/components/replication/models.py
@@ -13,8 +13,8 @@
     DEFAULT_IN_FLIGHT,
     DEFAULT_LEADERLESS,
     DEFAULT_PIECE_BYTES,
-    DEFAULT_RETURN_GRACE,
     DEFAULT_SILENT_VOTER,
+    DEFAULT_STARTUP_CHECK_GRACE,
     DEFAULT_TRAILING,
     DEFAULT_UNCOMMITTED,
 )
@@ -42,7 +42,7 @@
     promote: bool = False
 
 
-class Members(NamedTuple):
+class Membership(NamedTuple):
     """The membership that the entry of that index set; index 0 is none."""
 
     index: int
@@ -54,7 +54,7 @@
 
     index: int
     term: int
-    members: Members
+    members: Membership
     data: bytes
 
 
@@ -78,7 +78,7 @@
     boot: int = 0
 
 
-class Restored(NamedTuple):
+class PersistentState(NamedTuple):
     """What a data folder holds at the start."""
 
     replica: str
@@ -301,7 +301,7 @@
     election_max: float = 1.2
     first_election: float = DEFAULT_FIRST_ELECTION
     heartbeat: float = 0.15
-    return_grace: float = DEFAULT_RETURN_GRACE
+    startup_check_grace: float = DEFAULT_STARTUP_CHECK_GRACE
     leaderless: float = DEFAULT_LEADERLESS
     silent_voter: float = DEFAULT_SILENT_VOTER
     voters: int = 0
--- a/bitterntiller/components/replication/reads.py
+++ b/bitterntiller/components/replication/read_index.py
@@ -11,7 +11,7 @@
     round: int
 
 
-class Reads:
+class PendingReads:
     """Questions that wait for a round of heartbeats to be acknowledged.
 
     A leader that was deposed without knowing it (cut off, frozen) could answer
@@ -25,7 +25,7 @@
         self._waiting: list[_Read] = []
         self._asked: list[tuple[int, int]] = []
 
-    def ask(self, token: int, index: int) -> None:
+    def add_request(self, token: int, index: int) -> None:
         """Add a question; the next round answers it."""
         self._asked.append((token, index))
 
@@ -38,7 +38,7 @@
         self._asked.clear()
         return True
 
-    def confirmed(self, round_number: int) -> list[ReadOutcome]:
+    def resolve(self, round_number: int) -> list[ReadOutcome]:
         """Return the questions that a quorum's round answers."""
         done = [read for read in self._waiting if read.round <= round_number]
         self._waiting = [r for r in self._waiting if r.round > round_number]
--- a/bitterntiller/components/replication/records.py
+++ b/bitterntiller/components/replication/records.py
@@ -5,7 +5,7 @@
 from bitterntiller.protocol import decode, encode, messages
 
 from .members import decode_members, encode_members
-from .models import Entry, HardState, Mark, Persist, Restored, Snapshot
+from .models import Entry, HardState, Mark, Persist, PersistentState, Snapshot
 
 
 def encode_batch(persist: Persist) -> bytes:
@@ -73,7 +73,7 @@
 class Replay:
     """What a data folder holds after the writes applied so far."""
 
-    def __init__(self, start: Restored) -> None:
+    def __init__(self, start: PersistentState) -> None:
         self._replica = start.replica
         self._hard = start.hard
         self._marks = start.marks_by_replica
@@ -97,12 +97,12 @@
         if self._entries:
             del self._entries[max(index - self._entries[0].index, 0) :]
 
-    def restored(self) -> Restored:
+    def restored(self) -> PersistentState:
         """Return the outcome, with the entries behind the snapshot only."""
         snapshot, entries = self._snapshot, self._entries
         if snapshot is not None:
             entries = _behind(snapshot, entries)
-        return Restored(
+        return PersistentState(
             self._replica, self._hard, dict(self._marks), snapshot, tuple(entries)
         )
 
--- a/bitterntiller/components/replication/repair.py
+++ b/bitterntiller/components/replication/repair_decisions.py
@@ -12,7 +12,7 @@
 
 from .const import MAX_MEMBERS, REPAIR_DONE, REPAIR_REFUSED, REPAIR_RUNNING
 from .members import quorum, voters
-from .models import Member, Members
+from .models import Member, Membership
 from .state import Role, State
 
 
@@ -26,14 +26,14 @@
     add: str
 
 
-class RepairState(NamedTuple):
+class RepairStatus(NamedTuple):
     """status is a REPAIR_ constant, text says what is being waited for."""
 
     status: str
     text: str
 
 
-def is_sound(state: State, replica: str, now: float) -> bool:
+def is_healthy(state: State, replica: str, now: float) -> bool:
     """Tell whether a replica answers and has caught up."""
     if replica == state.replica:
         return True
@@ -44,11 +44,11 @@
     return heard and progress.match >= state.settled
 
 
-def survives(state: State, now: float) -> int | None:
+def failure_tolerance(state: State, now: float) -> int | None:
     """Return how many more voters may be lost now; None if not the leader."""
     if state.role is not Role.LEADER:
         return None
-    sound = [v for v in voters(state.members) if is_sound(state, v, now)]
+    sound = [v for v in voters(state.members) if is_healthy(state, v, now)]
     return len(sound) - quorum(state.members)
 
 
@@ -58,8 +58,8 @@
     return bool(progress) and progress.contact <= now - state.tuning.election_max
 
 
-def joined(
-    members: Members, replica: str, host: str, address: str
+def with_learner(
+    members: Membership, replica: str, host: str, address: str
 ) -> tuple[Member, ...] | None:
     """Return the membership with a learner more; None when there is no room.
 
@@ -78,51 +78,53 @@
     return (*kept, Member(replica, host, address, False))
 
 
-def next_step(
+def next_membership(
     state: State, commands: list[RepairCommand], now: float
 ) -> tuple[Member, ...] | None:
     """Return the next membership, None when nothing is to be changed now."""
     for learner in state.members.all:
-        if learner.voter or not is_sound(state, learner.replica, now):
+        if learner.voter or not is_healthy(state, learner.replica, now):
             continue
         if learner.promote or len(voters(state.members)) < state.tuning.voters:
-            return _replaced(state.members, learner._replace(voter=True, promote=False))
-        if step := _replacing(state, learner, commands, now):
+            return _with_member(
+                state.members, learner._replace(voter=True, promote=False)
+            )
+        if step := _next_replacement(state, learner, commands, now):
             return step
-    return _removing(state, commands, now)
+    return _next_removal(state, commands, now)
 
 
-def _replacing(
+def _next_replacement(
     state: State, learner: Member, commands: list[RepairCommand], now: float
 ) -> tuple[Member, ...] | None:
-    dead = _dead_of_host(state, learner.host, now)
+    dead = _silent_voter_of_host(state, learner.host, now)
     if dead is not None:
-        return _without(state, dead, learner, now)
+        return _without_voter(state, dead, learner, now)
     command = next((w for w in commands if w.add == learner.host), None)
     if command is None:
-        lost = _lost_voter(state, now) if state.tuning.voters else None
-        return None if lost is None else _without(state, lost, learner, now)
-    target = _target(state, command, now)
+        lost = _longest_silent_voter(state, now) if state.tuning.voters else None
+        return None if lost is None else _without_voter(state, lost, learner, now)
+    target = _voter_to_remove(state, command, now)
     if target is None and _has_voter(state, learner.host):
         # The old identity of this host is not yet known to be silent. Made a voter
         # beside it, the new one would leave it a voter that nobody removes.
         return None
     if target is None:
-        return _replaced(state.members, learner._replace(promote=True))
-    return _without(state, target, learner, now)
+        return _with_member(state.members, learner._replace(promote=True))
+    return _without_voter(state, target, learner, now)
 
 
-def _removing(
+def _next_removal(
     state: State, commands: list[RepairCommand], now: float
 ) -> tuple[Member, ...] | None:
     for command in commands:
-        target = None if command.add else _target(state, command, now)
+        target = None if command.add else _voter_to_remove(state, command, now)
         if target is not None:
-            return _without(state, target, None, now)
+            return _without_voter(state, target, None, now)
     return None
 
 
-def _lost_voter(state: State, now: float) -> Member | None:
+def _longest_silent_voter(state: State, now: float) -> Member | None:
     """Return the voter that has been silent for longest, if that is long enough."""
     oldest = now - state.tuning.silent_voter
     silent = {
@@ -134,7 +136,7 @@
     return lost if lost is not None and silent[lost] < oldest else None
 
 
-def _dead_of_host(state: State, host: str, now: float) -> Member | None:
+def _silent_voter_of_host(state: State, host: str, now: float) -> Member | None:
     for member in state.members.all:
         if member.voter and member.host == host:
             return member if is_silent(state, member.replica, now) else None
@@ -145,44 +147,44 @@
     return any(member.voter and member.host == host for member in state.members.all)
 
 
-def _target(state: State, command: RepairCommand, now: float) -> Member | None:
+def _voter_to_remove(state: State, command: RepairCommand, now: float) -> Member | None:
     if command.remove == command.add:
-        return _dead_of_host(state, command.remove, now)
+        return _silent_voter_of_host(state, command.remove, now)
     for member in state.members.all:
         if member.voter and command.remove in (member.host, member.replica):
             return member
     return None
 
 
-def _without(
+def _without_voter(
     state: State, dead: Member, learner: Member | None, now: float
 ) -> tuple[Member, ...] | None:
     """Drop a voter, if those that are left can still decide."""
     kept = tuple(m for m in state.members.all if m != dead)
     if learner is not None:
-        kept = _replaced(Members(0, kept), learner._replace(promote=True))
-    after = Members(0, kept)
-    sound = [v for v in voters(after) if is_sound(state, v, now)]
+        kept = _with_member(Membership(0, kept), learner._replace(promote=True))
+    after = Membership(0, kept)
+    sound = [v for v in voters(after) if is_healthy(state, v, now)]
     return kept if voters(after) and len(sound) >= quorum(after) else None
 
 
-def _replaced(members: Members, changed: Member) -> tuple[Member, ...]:
+def _with_member(members: Membership, changed: Member) -> tuple[Member, ...]:
     return tuple(changed if m.replica == changed.replica else m for m in members.all)
 
 
-def progress_of(state: State, command: RepairCommand, now: float) -> RepairState:
+def repair_status(state: State, command: RepairCommand, now: float) -> RepairStatus:
     """Tell how far a repair is; done only when full redundancy is back."""
     if not command.remove and not command.add:
-        return RepairState(REPAIR_REFUSED, "neither a replica to remove nor a host")
-    target = _target(state, command, now)
+        return RepairStatus(REPAIR_REFUSED, "neither a replica to remove nor a host")
+    target = _voter_to_remove(state, command, now)
     if target is not None:
-        return RepairState(REPAIR_RUNNING, f"{target.replica} is still a voter")
+        return RepairStatus(REPAIR_RUNNING, f"{target.replica} is still a voter")
     hosts = {member.host: member for member in state.members.all}
     if command.add and command.add not in hosts:
-        return RepairState(REPAIR_RUNNING, f"{command.add} has not joined yet")
+        return RepairStatus(REPAIR_RUNNING, f"{command.add} has not joined yet")
     if command.add and not hosts[command.add].voter:
-        return RepairState(REPAIR_RUNNING, f"{command.add} is catching up")
-    left, full = survives(state, now), (len(voters(state.members)) - 1) // 2
+        return RepairStatus(REPAIR_RUNNING, f"{command.add} is catching up")
+    left, full = failure_tolerance(state, now), (len(voters(state.members)) - 1) // 2
     if state.members.index > state.commit or left is None or left < full:
-        return RepairState(REPAIR_RUNNING, f"{left} of {full} losses are survived")
-    return RepairState(REPAIR_DONE, f"{left} further losses are survived")
+        return RepairStatus(REPAIR_RUNNING, f"{left} of {full} losses are survived")
+    return RepairStatus(REPAIR_DONE, f"{left} further losses are survived")
--- a/bitterntiller/components/replication/sending.py
+++ b/bitterntiller/components/replication/sending.py
@@ -51,7 +51,7 @@
         state.log.term_at(prev) or 0,
         entries,
         state.commit,
-        state.reads.round,
+        state.pending_reads.round,
         state.hard.boot,
     )
     state.send(replica, message)
@@ -82,7 +82,7 @@
         snapshot.data[offset:stop],
         stop >= len(snapshot.data),
         encode_members(snapshot.members.all),
-        state.reads.round,
+        state.pending_reads.round,
         snapshot.members.index,
         state.hard.boot,
     )
--- a/bitterntiller/components/replication/returning.py
+++ b/bitterntiller/components/replication/startup_check.py
@@ -2,7 +2,7 @@
 
 from . import identity
 from .const import NO_VOTE, VERDICT_FINE, VOTE_BARRED
-from .identity import ReturnState
+from .identity import StartupCheck
 from .members import encode_members, find
 from .models import Mark, ReturnCheck, ReturnCheckReply
 from .state import Role, State
@@ -17,27 +17,27 @@
     Asking again also lowers the floor when the peer with the furthest log has
     been lost since, which would otherwise keep the rest from electing.
     """
-    if state.returning.done:
-        leaderless = now - max(state.heard, state.returning.began)
+    if state.startup_check.done:
+        leaderless = now - max(state.heard, state.startup_check.started_at)
         if state.role is Role.LEADER or leaderless < state.tuning.leaderless:
             return
         # A candidate gives up, since it might else lead without being counted.
         state.role = Role.FOLLOWER
-        state.returning = ReturnState(now)
+        state.startup_check = StartupCheck(now)
     if now >= state.beat:
         state.beat = now + state.tuning.heartbeat
-        _ask(state)
-    _finish_if_enough(state, now)
+        _send_checks(state)
+    _complete_if_sufficient(state, now)
 
 
-def _ask(state: State) -> None:
-    check = _question(state)
-    members = state.returning.newest_members(state.members)
-    for voter in sorted(state.returning.missing(state.replica, members)):
+def _send_checks(state: State) -> None:
+    check = _check_message(state)
+    members = state.startup_check.newest_membership(state.members)
+    for voter in sorted(state.startup_check.unanswered_voters(state.replica, members)):
         state.hold(voter, check)
 
 
-def _question(state: State) -> ReturnCheck:
+def _check_message(state: State) -> ReturnCheck:
     # A replica that has not yet met itself in a membership, having just joined,
     # can't have been removed since.
     own = find(state.members, state.replica)
@@ -51,14 +51,14 @@
     )
 
 
-def _finish_if_enough(state: State, now: float) -> None:
-    returning = state.returning
-    members = returning.newest_members(state.members)
-    late = now >= returning.began + state.tuning.return_grace
-    if not returning.enough(state.replica, members, late):
+def _complete_if_sufficient(state: State, now: float) -> None:
+    startup_check = state.startup_check
+    members = startup_check.newest_membership(state.members)
+    late = now >= startup_check.started_at + state.tuning.startup_check_grace
+    if not startup_check.is_sufficient(state.replica, members, late):
         return
-    partial = bool(returning.missing(state.replica, members))
-    highest = returning.finish()
+    partial = bool(startup_check.unanswered_voters(state.replica, members))
+    highest = startup_check.complete()
     # A forgotten vote was cast for a candidate of some term up to the highest
     # that the peers know; barring the vote there keeps it from being cast twice.
     if highest > state.term:
@@ -76,11 +76,11 @@
     """
     replica = message.replica
     mark = state.marks_by_replica.get(replica, Mark())
-    verdict = identity.judge(message, mark, state.members, state.commit)
+    verdict = identity.verify_identity(message, mark, state.members, state.commit)
     if verdict == VERDICT_FINE:
         state.note_mark(replica, mark._replace(boot=message.boot), due=True)
-    doubt(state, replica)
-    _ask_newcomer(state, replica)
+    reset_progress(state, replica)
+    _check_started_voter(state, replica)
     reply = ReturnCheckReply(
         state.term,
         state.replica,
@@ -95,19 +95,21 @@
     state.hold(replica, reply)
 
 
-def _ask_newcomer(state: State, replica: str) -> None:
+def _check_started_voter(state: State, replica: str) -> None:
     """Ask a voter that has just started at once, as it can answer from now on.
 
     Replicas that are started together would otherwise wait for the next round of
     questions, which the last one of them has missed by its start.
     """
-    returning = state.returning
-    members = returning.newest_members(state.members)
-    if not returning.done and replica in returning.missing(state.replica, members):
-        state.hold(replica, _question(state))
+    startup_check = state.startup_check
+    members = startup_check.newest_membership(state.members)
+    if not startup_check.done and replica in startup_check.unanswered_voters(
+        state.replica, members
+    ):
+        state.hold(replica, _check_message(state))
 
 
-def doubt(state: State, replica: str) -> None:
+def reset_progress(state: State, replica: str) -> None:
     """Forget as a leader what a follower held, until it has answered anew.
 
     A folder that went back in time holds less than was acknowledged. Were the
@@ -130,6 +132,6 @@
         state.retired = f"{message.verdict} according to {message.voter}"
         state.count("retired")
         return
-    if not state.returning.done:
-        state.returning.answer(message)
-        _finish_if_enough(state, now)
+    if not state.startup_check.done:
+        state.startup_check.add_reply(message)
+        _complete_if_sufficient(state, now)
--- a/bitterntiller/components/replication/state.py
+++ b/bitterntiller/components/replication/state.py
@@ -4,25 +4,25 @@
 from enum import StrEnum
 
 from .const import NO_VOTE, EntryKind
-from .identity import ReturnState, next_boot
+from .identity import StartupCheck, next_boot
 from .log import Log
-from .members import NO_MEMBERS, decode_members, voters
+from .members import EMPTY_MEMBERSHIP, decode_members, voters
 from .models import (
     Effects,
     Entry,
     HardState,
     Mark,
-    Members,
+    Membership,
     Message,
     Outgoing,
     Persist,
+    PersistentState,
     ReadOutcome,
-    Restored,
     Snapshot,
     Tuning,
 )
 from .progress import Progress
-from .reads import Reads
+from .read_index import PendingReads
 
 APPLY_AT_ONCE = 2048
 
@@ -45,7 +45,7 @@
     """
 
     def __init__(
-        self, restored: Restored, tuning: Tuning, rng: random.Random, now: float
+        self, restored: PersistentState, tuning: Tuning, rng: random.Random, now: float
     ) -> None:
         self.replica = restored.replica
         self.tuning = tuning
@@ -65,8 +65,8 @@
         self.settled = 0
         self.commit_at_beat = 0
         self.progress_by_replica: dict[str, Progress] = {}
-        self.reads = Reads()
-        self.returning = ReturnState(now)
+        self.pending_reads = PendingReads()
+        self.startup_check = StartupCheck(now)
         self.retired = ""
         self.stalled = False
         self.assembling: tuple[int, int, bytearray] | None = None
@@ -148,7 +148,7 @@
         if term > self.term:
             self.set_term(term)
         if self.role is Role.LEADER:
-            self.read_outcomes += self.reads.fail()
+            self.read_outcomes += self.pending_reads.fail()
             self.progress_by_replica.clear()
             self.heard = now
             self.reset_deadline(now)
@@ -179,12 +179,12 @@
         if self.members.index >= index:
             self.members = self.members_at(index - 1)
 
-    def members_at(self, index: int) -> Members:
+    def members_at(self, index: int) -> Membership:
         """Return the membership as it was after the entry of that index."""
         for entry in reversed(self.log.slice(self.log.base_index + 1, index)):
             if entry.kind == EntryKind.MEMBERS:
                 return decode_members(entry.index, entry.data)
-        return self.snapshot.members if self.snapshot else NO_MEMBERS
+        return self.snapshot.members if self.snapshot else EMPTY_MEMBERSHIP
 
     def install(self, snapshot: Snapshot) -> None:
         """Replace the state and the log up to it by a leader's snapshot."""
@@ -277,6 +277,6 @@
         self._awaiting = []
 
 
-def initial(replica: str) -> Restored:
+def initial_persistent_state(replica: str) -> PersistentState:
     """Return what a new data folder holds."""
-    return Restored(replica, HardState(), {}, None, ())
+    return PersistentState(replica, HardState(), {}, None, ())
--- a/bitterntiller/components/replication/storage.py
+++ b/bitterntiller/components/replication/storage.py
@@ -24,7 +24,7 @@
     StorageFailedError,
     StorageFullError,
 )
-from .models import HardState, Persist, Restored, Snapshot
+from .models import HardState, Persist, PersistentState, Snapshot
 from .records import (
     Replay,
     decode_batch,
@@ -60,7 +60,7 @@
             self.close()
             raise
 
-    def _open(self) -> Restored:
+    def _open(self) -> PersistentState:
         self._drop_temporary()
         replica = self._read_identity()
         if replica is None or replica.rpartition("/")[0] != self._host:
@@ -108,9 +108,9 @@
             os.close(self._log_fd)
         os.close(self._lock_fd)
 
-    def _create(self) -> Restored:
+    def _create(self) -> PersistentState:
         replica = f"{self._host}/{uuid.uuid4().hex}"
-        restored = Restored(replica, HardState(), {}, None, ())
+        restored = PersistentState(replica, HardState(), {}, None, ())
         self._begin_log(0, Persist(0, HardState(), {}, None, (), None))
         text = json.dumps({"replica": replica, "crc": zlib.crc32(replica.encode())})
         # The identity comes last: a folder without one was never used.
@@ -131,7 +131,7 @@
             raise LogDamagedError(str(path), 0, "the identity is damaged")
         return replica
 
-    def _load(self, replica: str) -> Restored:
+    def _load(self, replica: str) -> PersistentState:
         snapshot = self._load_snapshot()
         number, path = max(self._numbered(_LOG), default=(0, None))
         if path is None:
@@ -143,7 +143,7 @@
             raise LogDamagedError(
                 str(path), 0, f"snapshot {self._head.base} is missing"
             )
-        replay = Replay(Restored(replica, HardState(), {}, snapshot, ()))
+        replay = Replay(PersistentState(replica, HardState(), {}, snapshot, ()))
         for payload in payloads:
             replay.apply(_decoded(path, payload))
         self._log_number = number
--- a/tests/components/replication/cluster.py
+++ b/tests/components/replication/cluster.py
@@ -7,7 +7,7 @@
 import zlib
 from dataclasses import dataclass, field
 
-from bitterntiller.components.replication import join_decisions, repair
+from bitterntiller.components.replication import join_decisions, repair_decisions
 from bitterntiller.components.replication.const import EntryKind
 from bitterntiller.components.replication.core import Replica
 from bitterntiller.components.replication.members import encode_members, find, voters
@@ -15,11 +15,11 @@
     Entry,
     Member,
     Persist,
-    Restored,
+    PersistentState,
     Tuning,
 )
 from bitterntiller.components.replication.records import Replay
-from bitterntiller.components.replication.state import Role, initial
+from bitterntiller.components.replication.state import Role, initial_persistent_state
 
 from .checker import Checker, ViolationError
 from .profiles import MIXED, Profile
@@ -31,13 +31,13 @@
 @dataclass
 class Node:
     host: str
-    disk: Restored
+    disk: PersistentState
     rate: float
     clock: float = 100.0
     replica: Replica | None = None
     write: Persist | None = None
     frozen: bool = False
-    copies: list[Restored] = field(default_factory=list)
+    copies: list[PersistentState] = field(default_factory=list)
     applied: int = 0
     chain: int = 0
     checked: int = 0
@@ -70,7 +70,9 @@
             self.start(self.nodes[host])
 
     def _new_node(self, host: str) -> Node:
-        return Node(host, initial(f"{host}/1"), self.rng.uniform(0.9, 1.1))
+        return Node(
+            host, initial_persistent_state(f"{host}/1"), self.rng.uniform(0.9, 1.1)
+        )
 
     def member(self, host: str, voter: bool) -> Member:
         return Member(self.nodes[host].disk.replica, host, host, voter)
@@ -80,7 +82,7 @@
         pieces = self.rng.choice((7, 99))
         batch = self.profile.batch
         tuning = TUNING._replace(
-            return_grace=grace,
+            startup_check_grace=grace,
             piece_bytes=pieces,
             batch_entries=batch,
             first_election=self.profile.first_election,
@@ -107,7 +109,7 @@
 
     def new_identity(self, node: Node) -> None:
         host, _, number = node.disk.replica.partition("/")
-        node.disk = initial(f"{host}/{int(number) + 1}")
+        node.disk = initial_persistent_state(f"{host}/{int(number) + 1}")
         node.copies = []
         self.start(node)
 
@@ -119,12 +121,12 @@
             if other.replica and join_decisions.is_empty(other.replica.state):
                 join_decisions.hear_empty(state, other.disk.replica)
             if other.replica and not find(state.members, other.disk.replica):
-                new = repair.joined(
+                new = repair_decisions.with_learner(
                     state.members, other.disk.replica, *[other.host] * 2
                 )
                 node.replica.change_members(new, node.clock)
                 break
-        if step := repair.next_step(state, [], node.clock):
+        if step := repair_decisions.next_membership(state, [], node.clock):
             node.replica.change_members(step, node.clock)
         self.after(node)
         if self._all_up() and self._full_redundancy():
@@ -132,14 +134,18 @@
 
     def _all_up(self) -> bool:
         nodes = self.nodes.values()
-        return all(n.replica and n.replica.state.returning.done for n in nodes)
+        return all(n.replica and n.replica.state.startup_check.done for n in nodes)
 
     def _full_redundancy(self) -> bool:
         for node in self.leaders():
             state = node.replica.state
             count = len(voters(state.members))
             settled = count >= 3 and state.members.index <= state.commit
-            if settled and repair.survives(state, node.clock) == (count - 1) // 2:
+            if (
+                settled
+                and repair_decisions.failure_tolerance(state, node.clock)
+                == (count - 1) // 2
+            ):
                 return True
         return False
 
--- a/tests/components/replication/explorer.py
+++ b/tests/components/replication/explorer.py
@@ -5,7 +5,7 @@
 been repaired: more than that no protocol of three replicas survives.
 """
 
-from bitterntiller.components.replication import repair
+from bitterntiller.components.replication import repair_decisions
 from bitterntiller.components.replication.errors import SafetyError
 from bitterntiller.components.replication.members import voters
 
@@ -77,7 +77,7 @@
         for node in self.leaders():
             self.tokens += 1
             self.asked[self.tokens] = self.checker.last_committed()
-            node.replica.ask_read(self.tokens)
+            node.replica.request_read_index(self.tokens)
             self.after(node)
 
     def crash(self) -> None:
@@ -157,7 +157,8 @@
             spare = [
                 m
                 for m in state.members.all
-                if not m.voter and repair.is_sound(state, m.replica, node.clock)
+                if not m.voter
+                and repair_decisions.is_healthy(state, m.replica, node.clock)
             ]
             if spare and not self.fragile:
                 changed = spare[0]._replace(voter=True)
--- a/tests/components/replication/mutations.py
+++ b/tests/components/replication/mutations.py
@@ -10,14 +10,19 @@
     identity,
     leading,
     members,
-    returning,
+    startup_check,
 )
 from bitterntiller.components.replication.models import (
     AppendReply,
     ReadOutcome,
     VoteReply,
 )
-from bitterntiller.components.replication.state import Outgoing, Role, State, initial
+from bitterntiller.components.replication.state import (
+    Outgoing,
+    Role,
+    State,
+    initial_persistent_state,
+)
 
 from . import explorer, profiles
 
@@ -123,30 +128,30 @@
 
 
 def reads_without_a_round(patch):
-    def ask_read(state, token):
+    def request_read_index(state, token):
         state.read_outcomes.append(ReadOutcome(token, state.commit))
         return True
 
-    patch.setattr(leading, "ask_read", ask_read)
+    patch.setattr(leading, "request_read_index", request_read_index)
 
 
 def old_identity_votes(patch):
-    def finish_if_enough(state, now):
-        state.returning.done = True
+    def complete_if_sufficient(state, now):
+        state.startup_check.done = True
 
-    patch.setattr(returning, "_finish_if_enough", finish_if_enough)
+    patch.setattr(startup_check, "_complete_if_sufficient", complete_if_sufficient)
 
 
 def old_identity_is_not_recognized_nor_caught_up(patch):
-    patch.setattr(identity, "judge", lambda *args: "fine")
-    finish = identity.ReturnState.finish
+    patch.setattr(identity, "verify_identity", lambda *args: "fine")
+    complete = identity.StartupCheck.complete
 
-    def finish_without_floor(self):
-        finish(self)
-        self.floor = (0, 0)
+    def complete_without_floor(self):
+        complete(self)
+        self.vote_floor = (0, 0)
         return 0
 
-    patch.setattr(identity.ReturnState, "finish", finish_without_floor)
+    patch.setattr(identity.StartupCheck, "complete", complete_without_floor)
 
 
 def lost_disk_keeps_its_identity(patch):
@@ -154,7 +159,7 @@
     patch.setattr(core, "is_of_earlier_start", lambda state, message: False)
 
     def same_identity(self, node):
-        node.disk = initial(node.disk.replica)
+        node.disk = initial_persistent_state(node.disk.replica)
         node.copies = []
         self.start(node)
 
--- a/tests/components/replication/test_automatic.py
+++ b/tests/components/replication/test_automatic.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from bitterntiller.components.replication import join_decisions, repair
+from bitterntiller.components.replication import join_decisions, repair_decisions
 from bitterntiller.components.replication.members import voters
 from bitterntiller.components.replication.models import Member, Tuning
 from bitterntiller.components.replication.progress import Progress
@@ -35,7 +35,7 @@
     world, state = led_world("abc", 5)
     now = world.nodes["a"].clock
     add_learner(state, now, now)
-    step = repair.next_step(state, [], now)
+    step = repair_decisions.next_membership(state, [], now)
     assert [m.replica for m in step if m.voter][-1] == "z/1"
 
 
@@ -50,7 +50,7 @@
     for replica, progress in state.progress_by_replica.items():
         if replica.startswith("b/"):
             progress.contact = now + 3
-    step = repair.next_step(state, [], now + 3)
+    step = repair_decisions.next_membership(state, [], now + 3)
     assert step is not None
     assert not any(member.host == "c" for member in step)
     assert next(m for m in step if m.host == "z").promote
@@ -63,7 +63,7 @@
     add_learner(state, now, now)
     for progress in state.progress_by_replica.values():
         progress.contact = now
-    assert repair.next_step(state, [], now) is None
+    assert repair_decisions.next_membership(state, [], now) is None
     assert len(voters(state.members)) == 3
 
 
@@ -71,7 +71,7 @@
     world, state = led_world("abc", 0)
     now = world.nodes["a"].clock
     add_learner(state, now + 60, now + 60)
-    assert repair.next_step(state, [], now + 60) is None
+    assert repair_decisions.next_membership(state, [], now + 60) is None
 
 
 def reply(host: str, status: str = "fresh") -> messages.JoinReply:
--- a/tests/components/replication/test_join_decisions.py
+++ b/tests/components/replication/test_join_decisions.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from bitterntiller.components.replication import join_decisions, repair
+from bitterntiller.components.replication import join_decisions, repair_decisions
 from bitterntiller.components.replication.core import Replica
 from bitterntiller.components.replication.members import encode_members
 from bitterntiller.components.replication.models import Member, Tuning
-from bitterntiller.components.replication.state import initial
+from bitterntiller.components.replication.state import initial_persistent_state
 from bitterntiller.protocol import messages
 
 rng = pytest.fixture(lambda: random.Random(1))
@@ -21,7 +21,7 @@
 
 
 def replica(name, rng):
-    return Replica(initial(name), Tuning(), rng, 100.0)
+    return Replica(initial_persistent_state(name), Tuning(), rng, 100.0)
 
 
 def test_the_first_host_forms_it_once_all_are_empty():
@@ -98,5 +98,5 @@
     host.form([Member("a/1", "a", "old", True)])
     assert not join_decisions.needs_joining(host.state, "old")
     assert join_decisions.needs_joining(host.state, "new")
-    moved = repair.joined(host.state.members, "a/1", "a", "new")
+    moved = repair_decisions.with_learner(host.state.members, "a/1", "a", "new")
     assert moved == (Member("a/1", "a", "new", True),)
--- a/tests/components/replication/test_restart.py
+++ b/tests/components/replication/test_restart.py
@@ -2,15 +2,15 @@
 
 import pytest
 
-from bitterntiller.components.replication import repair
+from bitterntiller.components.replication import repair_decisions
 from bitterntiller.components.replication.const import (
     DEFAULT_FIRST_ELECTION,
-    DEFAULT_RETURN_GRACE,
+    DEFAULT_STARTUP_CHECK_GRACE,
 )
-from bitterntiller.components.replication.identity import ReturnState
+from bitterntiller.components.replication.identity import StartupCheck
 from bitterntiller.components.replication.models import (
     Member,
-    Members,
+    Membership,
     ReturnCheckReply,
 )
 from bitterntiller.components.replication.progress import Progress
@@ -25,7 +25,9 @@
 
 def restarted(seed: int) -> World:
     """Return five voters with a log that were all started anew."""
-    profile = Profile(hosts="abcde", first=5, grace=DEFAULT_RETURN_GRACE, batch=1)
+    profile = Profile(
+        hosts="abcde", first=5, grace=DEFAULT_STARTUP_CHECK_GRACE, batch=1
+    )
     world = World(seed, profile)
     world.calm, world.lateness = True, 0.0
     for node in world.nodes.values():
@@ -67,8 +69,8 @@
     return ReturnCheckReply(3, voter, boot, "fine", 9, 3, 1, b"")
 
 
-def members(*replicas: str) -> Members:
-    return Members(1, tuple(Member(r, r[0], f"{r[0]}:1", True) for r in replicas))
+def members(*replicas: str) -> Membership:
+    return Membership(1, tuple(Member(r, r[0], f"{r[0]}:1", True) for r in replicas))
 
 
 VOTERS = members("a/1", "b/1", "c/1", "d/1", "e/1")
@@ -80,10 +82,10 @@
     The other three wait for answers of identities that lived on the lost disks. Their
     hosts are up and answer under new ones.
     """
-    state = ReturnState(0.0)
+    state = StartupCheck(0.0)
     for voter in ("b/1", "c/1", "d/2", "e/2"):
-        state.answer(reply(voter))
-    assert state.enough("a/1", VOTERS, late=False)
+        state.add_reply(reply(voter))
+    assert state.is_sufficient("a/1", VOTERS, late=False)
 
 
 @pytest.mark.parametrize(
@@ -99,17 +101,17 @@
 
     A voter is silent and its host too; or too few are left to make a quorum.
     """
-    state = ReturnState(0.0)
+    state = StartupCheck(0.0)
     for voter in answers:
-        state.answer(reply(voter))
-    assert not state.enough("a/1", VOTERS, late=False)
+        state.add_reply(reply(voter))
+    assert not state.is_sufficient("a/1", VOTERS, late=False)
 
 
 def test_first_campaigns_are_apart():
     """Two voters ask for votes at the same moment, again and again, and none wins."""
     world = restarted(1)
     drain(world, "abcde")
-    assert all(node.replica.state.returning.done for node in world.nodes.values())
+    assert all(node.replica.state.startup_check.done for node in world.nodes.values())
     waits = sorted(
         node.replica.state.deadline - node.clock for node in world.nodes.values()
     )
@@ -133,10 +135,10 @@
     state.members = state.members._replace(all=(*state.members.all, learner))
     progress = Progress(1, now, match=state.log.last_index, counted=True)
     state.progress_by_replica["b/2"] = progress
-    commands = [repair.RepairCommand("b", "b")]
-    assert repair.next_step(state, commands, now) is None
+    commands = [repair_decisions.RepairCommand("b", "b")]
+    assert repair_decisions.next_membership(state, commands, now) is None
     silent = now + state.tuning.election_max + 0.1
     for replica in ("b/2", "c/1"):
         state.progress_by_replica[replica].contact = silent
-    step = repair.next_step(state, commands, silent)
+    step = repair_decisions.next_membership(state, commands, silent)
     assert [member.replica for member in step] == ["a/1", "c/1", "b/2"]
--- a/tests/components/replication/test_stalled.py
+++ b/tests/components/replication/test_stalled.py
@@ -4,11 +4,11 @@
 
 from bitterntiller.components.replication.core import Replica
 from bitterntiller.components.replication.models import Member, Tuning
-from bitterntiller.components.replication.state import Role, initial
+from bitterntiller.components.replication.state import Role, initial_persistent_state
 
 
 def leader() -> Replica:
-    replica = Replica(initial("a/1"), Tuning(), random.Random(1), 0.0)
+    replica = Replica(initial_persistent_state("a/1"), Tuning(), random.Random(1), 0.0)
     replica.form([Member("a/1", "a", "127.0.0.1:1", True)])
     now = 0.0
     while replica.state.role is not Role.LEADER:
--- a/tests/components/replication/test_storage.py
+++ b/tests/components/replication/test_storage.py
@@ -18,13 +18,13 @@
     HardState,
     Mark,
     Member,
-    Members,
+    Membership,
     Persist,
     Snapshot,
 )
 from bitterntiller.components.replication.storage import Storage
 
-MEMBERS = Members(1, (Member("a/1", "a", "127.0.0.1:1", True),))
+MEMBERS = Membership(1, (Member("a/1", "a", "127.0.0.1:1", True),))
 SNAPSHOT = Snapshot(3, 2, MEMBERS, b"state")
 
 
