--- a/bitterntiller/components/replication/const.py
+++ b/bitterntiller/components/replication/const.py
@@ -28,10 +28,10 @@
 
 DEFAULT_BATCH_BYTES = 256 * 1024
 DEFAULT_BATCH_ENTRIES = 512
-DEFAULT_IN_FLIGHT = 8
+DEFAULT_MAX_IN_FLIGHT = 8
 DEFAULT_PIECE_BYTES = 256 * 1024
-DEFAULT_UNCOMMITTED = 20000
-DEFAULT_TRAILING = 1000
+DEFAULT_MAX_UNCOMMITTED = 20000
+DEFAULT_TRAILING_ENTRIES = 1000
 """Entries kept behind a snapshot, for followers that are a little behind."""
 
 DEFAULT_SNAPSHOT_BYTES = 32 * 1024 * 1024
@@ -40,7 +40,7 @@
 DEFAULT_STARTUP_CHECK_GRACE = 2.0
 """Seconds a returning replica waits for the answers of all other voters."""
 
-DEFAULT_FIRST_ELECTION = 0.04
+DEFAULT_FIRST_ELECTION_SPACING = 0.04
 """Seconds between the first campaigns of two voters that were started together.
 
 With five voters control leads 0.07 s after the last of them is up, and 0.61 s after
@@ -50,10 +50,10 @@
 sync. Beyond it, as between regions, two may ask at once, and one of them asks again.
 """
 
-DEFAULT_LEADERLESS = 10.0
+DEFAULT_LEADERLESS_TIMEOUT = 10.0
 """Seconds without a leader after which a replica asks about itself again."""
 
-DEFAULT_SILENT_VOTER = 2.0
+DEFAULT_SILENT_VOTER_TIMEOUT = 2.0
 """Seconds after which a silent voter gives its place to a learner that waits.
 
 Longer than the longest election timeout, so that a voter that is only restarted
--- a/bitterntiller/components/replication/coordinator.py
+++ b/bitterntiller/components/replication/coordinator.py
@@ -34,7 +34,7 @@
 from .writer import LogWriter
 
 TICK = 0.03
-HAND_OVER_PERIOD = 0.1
+TRANSFER_RETRY_PERIOD = 0.1
 """Seconds between two calls to lead; one takes some messages and two syncs."""
 
 SNAPSHOT_BYTES = DEFAULT_SNAPSHOT_BYTES
@@ -93,14 +93,14 @@
 
     async def async_propose(self, command: bytes, timeout: float) -> ProposalResult:
         """Append a command and wait until it is committed and applied."""
-        place = None if self.failure else self._replica.propose(command)
-        if place is None:
+        position = None if self.failure else self._replica.propose(command)
+        if position is None:
             return ProposalResult(STATUS_NOT_LEADER, b"", self.leader())
-        proposal = self._waiters.add_proposal(place)
+        proposal = self._waiters.add_proposal(position)
         await self._wake.set()
         async with curio.ignore_after(timeout):
             await proposal.done.wait()
-        self._waiters.drop_proposal(place, proposal)
+        self._waiters.drop_proposal(position, proposal)
         if proposal.result is None:
             return ProposalResult(STATUS_UNKNOWN, b"", self.leader())
         return proposal.result._replace(leader=self.leader())
@@ -125,10 +125,10 @@
         """
         async with curio.ignore_after(timeout):
             while self.is_leader():
-                if not self._replica.hand_over(self._runtime.clock.now()):
+                if not self._replica.transfer_leadership(self._runtime.clock.now()):
                     return False
                 await self._wake.set()
-                await curio.sleep(HAND_OVER_PERIOD)
+                await curio.sleep(TRANSFER_RETRY_PERIOD)
         return not self.is_leader()
 
     def is_leader(self) -> bool:
@@ -163,7 +163,7 @@
     async def _async_halt(self, error: BrokenInvariantError) -> None:
         self.failure = self.failure or error
         logging.error("the replica stops: %s", error)
-        await self._waiters.async_fail()
+        await self._waiters.async_fail_all()
         await self._runtime.async_fail(error)
 
     async def _async_receive(self, host: str, message: Any) -> None:
@@ -191,17 +191,17 @@
             await self._wake.wait()
             self._wake.clear()
             now = self._runtime.clock.now()
-            self._writer.note_stall(now)
+            self._writer.check_stall(now)
             self._replica.tick(now)
             self._repairer.step(now)
-            await self._async_carry_out(self._replica.take(now))
+            await self._async_execute(self._replica.take_effects(now))
 
-    async def _async_carry_out(self, effects: Effects) -> None:
+    async def _async_execute(self, effects: Effects) -> None:
         if effects.retired:
             await self._async_retire(effects.retired)
             return
         if effects.persist is not None:
-            await self._writer.async_want(effects.persist)
+            await self._writer.async_request(effects.persist)
         for outgoing in effects.messages:
             await self._async_send(outgoing.to, to_wire(outgoing.message))
         if effects.restore is not None:
@@ -210,8 +210,8 @@
         for entry in effects.committed:
             await self._async_apply(entry)
         for outcome in effects.reads:
-            await self._waiters.async_read(outcome, self._applied)
-        await self._waiters.async_advance(self._applied)
+            await self._waiters.async_resolve_read(outcome, self._applied)
+        await self._waiters.async_notify_applied(self._applied)
         self._report_startup_check()
         await self._async_note_role()
         self._snapshot_if_due()
@@ -224,7 +224,7 @@
             result = self._machine.apply(entry.index, entry.data)
         self._applied = entry.index
         self._applied_bytes += len(entry.data)
-        await self._waiters.async_applied(entry.index, entry.term, result)
+        await self._waiters.async_resolve_proposal(entry.index, entry.term, result)
 
     def _report_startup_check(self) -> None:
         """Log that the other voters have answered what they remember of this one."""
@@ -249,7 +249,7 @@
         logging.info("term %d: leader %s", self._replica.state.term, leads)
         if not leads:
             self._repairer.clear_commands()
-            await self._waiters.async_fail()
+            await self._waiters.async_fail_all()
 
     def _snapshot_if_due(self) -> None:
         """Cut the log when it has many entries, or many bytes.
@@ -273,10 +273,10 @@
         """Begin anew under another identity, as a learner with an empty log."""
         logging.warning("replica %s is given up: %s", self._replica.state.replica, why)
         self._runtime.metrics.count("replication.retired")
-        await self._writer.async_retire(self._begin_anew)
-        await self._waiters.async_fail()
+        await self._writer.async_retire(self._reset_replica)
+        await self._waiters.async_fail_all()
 
-    def _begin_anew(self) -> None:
+    def _reset_replica(self) -> None:
         self._machine.restore(self._initial)
         self._applied = 0
         self._replica = self._new_replica()
@@ -305,6 +305,6 @@
         election_min=timings.election_min,
         election_max=timings.election_max,
         heartbeat=timings.raft_heartbeat,
-        leaderless=timings.leaderless,
-        voters=runtime.settings.control.voters,
+        leaderless_timeout=timings.leaderless,
+        target_voters=runtime.settings.control.voters,
     )
--- a/bitterntiller/components/replication/core.py
+++ b/bitterntiller/components/replication/core.py
@@ -44,7 +44,7 @@
     return message.term < state.term
 
 
-def is_of_earlier_start(state: State, message: Message) -> bool:
+def is_from_earlier_boot(state: State, message: Message) -> bool:
     """Tell whether the sender has been started anew since it sent this.
 
     Two processes on copies of one folder would otherwise both be heard.
@@ -64,7 +64,7 @@
         self.state = State(restored, tuning, rng, now)
         startup_check.on_tick(self.state, now)
 
-    def form(self, members: Iterable[Member]) -> None:
+    def bootstrap(self, members: Iterable[Member]) -> None:
         """Begin a new deployment's log with its first membership."""
         state = self.state
         if state.log.last_index or state.members.index:
@@ -81,21 +81,21 @@
             leading.on_tick(state, now)
             return
         startup_check.on_tick(state, now)
-        if now >= state.deadline:
-            election.on_deadline(state, now)
+        if now >= state.election_deadline:
+            election.on_election_timeout(state, now)
 
     def receive(self, message: Message, now: float) -> None:
         """Take a message of another replica."""
         state = self.state
-        if state.retired or is_of_earlier_start(state, message):
+        if state.retired or is_from_earlier_boot(state, message):
             return
         if isinstance(message, _TERMLESS):
             self._receive_termless(message, now)
             return
         if message.term > state.term:
-            state.follow(message.term, "", now)
+            state.become_follower(message.term, "", now)
         if is_outdated(state, message):
-            self._answer_outdated(message, now)
+            self._reply_to_outdated(message, now)
             return
         self._receive_in_term(message, now)
 
@@ -106,7 +106,7 @@
                 election.on_pre_vote(state, message, now)
             case PreVoteReply():
                 if not message.granted and message.term > state.term:
-                    state.follow(message.term, "", now)
+                    state.become_follower(message.term, "", now)
                 election.on_pre_vote_reply(state, message, now)
             case ReturnCheck():
                 startup_check.on_check(state, message)
@@ -123,26 +123,26 @@
             case TimeoutNow():
                 election.on_timeout_now(state, now)
             case Append():
-                self._hear_leader(message.leader, now)
+                self._on_leader_message(message.leader, now)
                 following.on_append(state, message)
             case SnapshotPiece():
-                self._hear_leader(message.leader, now)
+                self._on_leader_message(message.leader, now)
                 following.on_piece(state, message)
             case AppendReply():
                 leading.on_append_reply(state, message, now)
             case SnapshotReply():
                 leading.on_snapshot_reply(state, message, now)
 
-    def _hear_leader(self, leader: str, now: float) -> None:
+    def _on_leader_message(self, leader: str, now: float) -> None:
         state = self.state
         if state.role is Role.LEADER:
             raise SafetyError(f"{leader} leads term {state.term} as this replica does")
-        state.follow(state.term, leader, now)
-        state.heard = now
-        state.met_leader = True
-        state.reset_deadline(now)
+        state.become_follower(state.term, leader, now)
+        state.last_leader_contact = now
+        state.has_met_leader = True
+        state.reset_election_timer(now)
 
-    def _answer_outdated(self, message: Message, now: float) -> None:
+    def _reply_to_outdated(self, message: Message, now: float) -> None:
         """Tell a deposed leader or a late candidate the present term."""
         state = self.state
         match message:
@@ -159,7 +159,7 @@
                     False,
                     state.hard.boot,
                 )
-                state.hold(message.leader, reply)
+                state.send_after_sync(message.leader, reply)
 
     def propose(self, data: bytes) -> LogPosition | None:
         """Append a command; None when it is certainly not in the log."""
@@ -185,12 +185,12 @@
             return False
         state.stalled = stalled
         if stalled and state.role is Role.LEADER:
-            state.follow(state.term, "", now)
+            state.become_follower(state.term, "", now)
         return True
 
-    def hand_over(self, now: float) -> str:
+    def transfer_leadership(self, now: float) -> str:
         """Have another voter lead; return which, empty when none can be asked."""
-        return leading.hand_over(self.state, now)
+        return leading.transfer_leadership(self.state, now)
 
     def snapshot_taken(self, index: int, data: bytes) -> None:
         """Hand in the state as it was after an applied entry."""
@@ -201,7 +201,7 @@
         self.state.persisted(number)
         leading.advance_commit(self.state, now)
 
-    def take(self, now: float) -> Effects:
+    def take_effects(self, now: float) -> Effects:
         """Return what is to be done now, never the same thing twice."""
         leading.flush(self.state, now)
-        return self.state.take()
+        return self.state.take_effects()
--- a/bitterntiller/components/replication/diagnostics.py
+++ b/bitterntiller/components/replication/diagnostics.py
@@ -30,7 +30,7 @@
         const.ATTR_SURVIVES: failure_tolerance(state, now),
         "may_vote": state.startup_check.done,
         "retired": state.retired,
-        "leader_heard_s_ago": round(now - state.heard, 3),
+        "leader_heard_s_ago": round(now - state.last_leader_contact, 3),
         const.ATTR_COUNTERS: dict(state.counters),
     }
 
@@ -48,7 +48,7 @@
         return described
     described["match_index"] = progress.match
     described["lag"] = state.log.last_index - progress.match
-    described["heard_s_ago"] = round(now - progress.contact, 3)
+    described["heard_s_ago"] = round(now - progress.last_contact, 3)
     described["sound"] = is_healthy(state, replica, now)
     described["snapshot_offset"] = progress.snapshot_offset if progress.snapshot else -1
     return described
--- a/bitterntiller/components/replication/election.py
+++ b/bitterntiller/components/replication/election.py
@@ -40,9 +40,9 @@
     return state.replica in voters(members)
 
 
-def on_deadline(state: State, now: float) -> None:
+def on_election_timeout(state: State, now: float) -> None:
     """Ask for pre-votes, since no leader has been heard of for too long."""
-    state.put_off_election(now)
+    state.start_retry_timer(now)
     state.leader = ""
     if not may_campaign(state):
         state.role = Role.FOLLOWER
@@ -58,7 +58,7 @@
         state.term + 1, state.replica, log.last_index, log.last_term, state.hard.boot
     )
     for voter in _others(state):
-        state.hold(voter, request)
+        state.send_after_sync(voter, request)
 
 
 def on_pre_vote(state: State, message: PreVote, now: float) -> None:
@@ -68,7 +68,7 @@
     depose the leader when it comes back.
     """
     hears_leader = state.role is Role.LEADER or (
-        state.leader and now < state.heard + state.tuning.election_min
+        state.leader and now < state.last_leader_contact + state.tuning.election_min
     )
     granted = (
         not hears_leader
@@ -78,7 +78,7 @@
     )
     term = message.term if granted else state.term
     reply = PreVoteReply(term, state.replica, granted, state.hard.boot)
-    state.hold(message.candidate, reply)
+    state.send_after_sync(message.candidate, reply)
 
 
 def on_pre_vote_reply(state: State, message: PreVoteReply, now: float) -> None:
@@ -99,7 +99,7 @@
     asked for this itself, so nobody is deposed by it.
     """
     if state.role is not Role.LEADER and may_campaign(state):
-        state.reset_deadline(now)
+        state.reset_election_timer(now)
         _campaign(state, now)
 
 
@@ -113,10 +113,10 @@
     )
     if granted:
         state.set_term(state.term, message.candidate)
-        state.reset_deadline(now)
+        state.reset_election_timer(now)
     state.count("votes_granted" if granted else "votes_refused")
     reply = VoteReply(state.term, state.replica, granted, state.hard.boot)
-    state.hold(message.candidate, reply)
+    state.send_after_sync(message.candidate, reply)
 
 
 def on_vote_reply(state: State, message: VoteReply, now: float) -> None:
@@ -125,30 +125,30 @@
         return
     mark = state.marks_by_replica.get(message.voter, Mark())
     if message.term > mark.term:
-        state.note_mark(message.voter, Mark(message.boot, message.term, 0))
+        state.record_mark(message.voter, Mark(message.boot, message.term, 0))
     if state.role is not Role.CANDIDATE or message.term != state.term:
         return
     state.votes.add(message.voter)
     if _has_quorum(state):
-        leading.begin(state, now)
+        leading.become_leader(state, now)
 
 
 def _campaign(state: State, now: float) -> None:
     # The votes need a sync each; a new pre-vote meanwhile would give them up.
-    state.reset_deadline(now)
+    state.reset_election_timer(now)
     state.role = Role.CANDIDATE
     state.count("elections_begun")
     state.set_term(state.term + 1, state.replica)
     state.votes = {state.replica}
     if _has_quorum(state):
-        leading.begin(state, now)
+        leading.become_leader(state, now)
         return
     log = state.log
     request = Vote(
         state.term, state.replica, log.last_index, log.last_term, state.hard.boot
     )
     for voter in _others(state):
-        state.hold(voter, request)
+        state.send_after_sync(voter, request)
 
 
 def _has_quorum(state: State) -> bool:
--- a/bitterntiller/components/replication/following.py
+++ b/bitterntiller/components/replication/following.py
@@ -6,7 +6,7 @@
 from .state import State
 
 
-def agrees(state: State, message: Append) -> bool:
+def has_previous_entry(state: State, message: Append) -> bool:
     """Tell whether this log holds the entry that the new ones follow."""
     return state.log.term_at(message.prev_index) == message.prev_term
 
@@ -22,17 +22,17 @@
         # All up to the commit index is the same on each replica that has it.
         _reply(state, message, True, state.commit)
         return
-    if not agrees(state, message):
+    if not has_previous_entry(state, message):
         _reply(state, message, False, 0)
         return
     for entry in message.entries:
-        _take_over(state, entry)
+        _append_or_replace(state, entry)
     last = message.prev_index + len(message.entries)
     state.commit = max(state.commit, min(message.commit, last))
     _reply(state, message, True, last)
 
 
-def _take_over(state: State, entry: Entry) -> None:
+def _append_or_replace(state: State, entry: Entry) -> None:
     term = state.log.term_at(entry.index)
     if term == entry.term:
         return
@@ -58,7 +58,7 @@
         state.startup_check.done,
         state.hard.boot,
     )
-    state.hold(message.leader, reply)
+    state.send_after_sync(message.leader, reply)
 
 
 def on_piece(state: State, message: SnapshotPiece) -> None:
@@ -67,9 +67,9 @@
         _reply_piece(state, message, 0, True)
         return
     key = (message.last_index, message.last_term)
-    if state.assembling is None or state.assembling[:2] != key:
-        state.assembling = (*key, bytearray())
-    data = state.assembling[2]
+    if state.incoming_snapshot is None or state.incoming_snapshot[:2] != key:
+        state.incoming_snapshot = (*key, bytearray())
+    data = state.incoming_snapshot[2]
     if message.offset != len(data):
         _reply_piece(state, message, len(data), False)
         return
@@ -78,7 +78,7 @@
         _reply_piece(state, message, len(data), False)
         return
     members = decode_members(message.members_index, message.members)
-    state.assembling = None
+    state.incoming_snapshot = None
     state.install(Snapshot(*key, members, bytes(data)))
     _reply_piece(state, message, len(data), True)
 
@@ -94,4 +94,4 @@
         state.startup_check.done,
         state.hard.boot,
     )
-    state.hold(message.leader, reply)
+    state.send_after_sync(message.leader, reply)
--- a/bitterntiller/components/replication/frames.py
+++ b/bitterntiller/components/replication/frames.py
@@ -12,69 +12,73 @@
 
 from .errors import LogDamagedError
 
-_HEAD = struct.Struct("<8sIQI")
+_HEADER = struct.Struct("<8sIQI")
 _FRAME = struct.Struct("<4sIII")
 _MAGIC = b"btnlog01"
-_MARK = b"\xf7BT\x01"
+_FRAME_MAGIC = b"\xf7BT\x01"
 
-HEAD_SIZE = _HEAD.size
+HEADER_SIZE = _HEADER.size
 
 
-class Head(NamedTuple):
+class FileHeader(NamedTuple):
     """The head of a file; base is the index of the snapshot that it needs."""
 
     salt: int
     base: int
 
 
-def new_head(base: int) -> Head:
+def new_header(base: int) -> FileHeader:
     """Return a head with a new salt."""
-    return Head(int.from_bytes(os.urandom(4), "little"), base)
+    return FileHeader(int.from_bytes(os.urandom(4), "little"), base)
 
 
-def encode_head(head: Head) -> bytes:
+def encode_header(header: FileHeader) -> bytes:
     """Return the bytes of a file's head."""
-    checksum = zlib.crc32(struct.pack("<IQ", head.salt, head.base))
-    return _HEAD.pack(_MAGIC, head.salt, head.base, checksum)
+    checksum = zlib.crc32(struct.pack("<IQ", header.salt, header.base))
+    return _HEADER.pack(_MAGIC, header.salt, header.base, checksum)
 
 
-def decode_head(file: str, data: bytes) -> Head:
+def decode_header(file: str, data: bytes) -> FileHeader:
     """Return the head; raise LogDamagedError when it is not one.
 
     A file gets its name only after it has been synced, so this is never a
     write that a crash has cut short.
     """
-    if len(data) < HEAD_SIZE:
+    if len(data) < HEADER_SIZE:
         raise LogDamagedError(file, 0, "the head of the file is cut off")
-    magic, salt, base, checksum = _HEAD.unpack_from(data)
+    magic, salt, base, checksum = _HEADER.unpack_from(data)
     if magic != _MAGIC or checksum != zlib.crc32(struct.pack("<IQ", salt, base)):
         raise LogDamagedError(file, 0, "the head of the file is damaged")
-    return Head(salt, base)
+    return FileHeader(salt, base)
 
 
-def encode_frame(head: Head, payload: bytes) -> bytes:
+def encode_frame(header: FileHeader, payload: bytes) -> bytes:
     """Return the bytes of a frame."""
-    start = struct.pack("<4sII", _MARK, len(payload), zlib.crc32(payload, head.salt))
-    return start + struct.pack("<I", zlib.crc32(start, head.salt)) + payload
+    start = struct.pack(
+        "<4sII", _FRAME_MAGIC, len(payload), zlib.crc32(payload, header.salt)
+    )
+    return start + struct.pack("<I", zlib.crc32(start, header.salt)) + payload
 
 
-def _frame_at(head: Head, data: bytes, offset: int) -> bytes | None:
+def _frame_at(header: FileHeader, data: bytes, offset: int) -> bytes | None:
     """Return the payload of the frame at an offset, None if it is not whole."""
     if offset + _FRAME.size > len(data):
         return None
     mark, length, checksum, own = _FRAME.unpack_from(data, offset)
-    if mark != _MARK:
+    if mark != _FRAME_MAGIC:
         return None
-    if own != zlib.crc32(data[offset : offset + _FRAME.size - 4], head.salt):
+    if own != zlib.crc32(data[offset : offset + _FRAME.size - 4], header.salt):
         return None
     start = offset + _FRAME.size
     payload = data[start : start + length]
-    if len(payload) != length or zlib.crc32(payload, head.salt) != checksum:
+    if len(payload) != length or zlib.crc32(payload, header.salt) != checksum:
         return None
     return payload
 
 
-def decode_frames(file: str, data: bytes, whole: int) -> tuple[list[bytes], int]:
+def decode_frames(
+    file: str, data: bytes, required_frames: int
+) -> tuple[list[bytes], int]:
     """Return the payloads, and how many bytes of the file are sound.
 
     The first so many frames, named by whole, were synced before the file got
@@ -83,24 +87,24 @@
     bad frame with a good one behind it is no such write but damage: this
     raises LogDamagedError rather than drop synced entries.
     """
-    head = decode_head(file, data)
+    header = decode_header(file, data)
     payloads: list[bytes] = []
-    offset = HEAD_SIZE
+    offset = HEADER_SIZE
     while offset < len(data):
-        payload = _frame_at(head, data, offset)
+        payload = _frame_at(header, data, offset)
         if payload is None:
             break
         payloads.append(payload)
         offset += _FRAME.size + len(payload)
-    if len(payloads) < whole or _has_frame_behind(head, data, offset):
+    if len(payloads) < required_frames or _has_frame_after(header, data, offset):
         raise LogDamagedError(file, offset, "a checksum does not match")
     return payloads, offset
 
 
-def _has_frame_behind(head: Head, data: bytes, offset: int) -> bool:
-    found = data.find(_MARK, offset + 1)
+def _has_frame_after(header: FileHeader, data: bytes, offset: int) -> bool:
+    found = data.find(_FRAME_MAGIC, offset + 1)
     while found != -1:
-        if _frame_at(head, data, found) is not None:
+        if _frame_at(header, data, found) is not None:
             return True
-        found = data.find(_MARK, found + 1)
+        found = data.find(_FRAME_MAGIC, found + 1)
     return False
--- a/bitterntiller/components/replication/join_decisions.py
+++ b/bitterntiller/components/replication/join_decisions.py
@@ -77,7 +77,7 @@
     return None
 
 
-def hear_empty(state: State, replica: str) -> None:
+def on_empty_follower(state: State, replica: str) -> None:
     """Take note, as a leader, that a follower's log is empty.
 
     An old copy of a folder may be one from before the first entry; it knows no
@@ -105,7 +105,7 @@
         return messages.JoinReply(status, address, *own)
     present = find(state.members, join.replica)
     if join.fresh:
-        hear_empty(state, join.replica)
+        on_empty_follower(state, join.replica)
     if present is not None and present.address == join.address:
         return messages.JoinReply(JOIN_ACCEPTED, own.address, *own)
     after = with_learner(state.members, join.replica, join.host, join.address)
--- a/bitterntiller/components/replication/joiner.py
+++ b/bitterntiller/components/replication/joiner.py
@@ -76,7 +76,7 @@
         first = join_decisions.formed_members(replica.state, replies)
         first = first or join_decisions.first_members(own, control.bootstrap, replies)
         if first is not None:
-            replica.form(first)
+            replica.bootstrap(first)
             await self._wake()
 
     async def _async_ask_all(
--- a/bitterntiller/components/replication/leading.py
+++ b/bitterntiller/components/replication/leading.py
@@ -24,20 +24,20 @@
 from .state import Role, State
 
 
-def begin(state: State, now: float) -> None:
+def become_leader(state: State, now: float) -> None:
     """Become the leader of the term.
 
     The empty entry lets the entries of earlier terms be committed.
     """
     state.role = Role.LEADER
     state.leader = state.replica
-    state.beat = now
+    state.next_broadcast = now
     state.pending_reads = PendingReads()
     state.progress_by_replica = {}
     state.count("terms_led")
-    state.settled = _add(state, EntryKind.NOOP, b"").index
-    state.commit_at_beat = state.commit
-    _follow_members(state, now)
+    state.caught_up_index = _append_entry(state, EntryKind.NOOP, b"").index
+    state.commit_at_heartbeat = state.commit
+    _update_progress(state, now)
     advance_commit(state, now)
 
 
@@ -45,10 +45,10 @@
     """Append a command; None when this replica can't take it."""
     if state.role is not Role.LEADER:
         return None
-    if state.log.last_index - state.commit >= state.tuning.uncommitted:
+    if state.log.last_index - state.commit >= state.tuning.max_uncommitted:
         state.count("proposals_refused_full")
         return None
-    return _add(state, EntryKind.COMMAND, data)
+    return _append_entry(state, EntryKind.COMMAND, data)
 
 
 def may_change_members(state: State) -> bool:
@@ -71,18 +71,18 @@
     new = tuple(new)
     if not may_change_members(state) or not is_single_change(state.members, new):
         return None
-    place = _add(state, EntryKind.MEMBERS, encode_members(new))
-    _follow_members(state, now)
-    return place
+    position = _append_entry(state, EntryKind.MEMBERS, encode_members(new))
+    _update_progress(state, now)
+    return position
 
 
-def _add(state: State, kind: int, data: bytes) -> LogPosition:
+def _append_entry(state: State, kind: int, data: bytes) -> LogPosition:
     entry = Entry(state.log.last_index + 1, state.term, kind, data)
     state.append(entry)
     return LogPosition(entry.index, entry.term)
 
 
-def _follow_members(state: State, now: float) -> None:
+def _update_progress(state: State, now: float) -> None:
     old, last = state.progress_by_replica, state.log.last_index
     state.progress_by_replica = {
         member.replica: old.get(member.replica) or Progress(last, now)
@@ -114,19 +114,19 @@
 
 def on_tick(state: State, now: float) -> None:
     """Step down without a quorum; send heartbeats when they are due."""
-    if not hears_quorum(state, now):
-        state.follow(state.term, "", now)
+    if not is_quorum_active(state, now):
+        state.become_follower(state.term, "", now)
         return
-    if now >= state.beat:
-        state.beat = now + state.tuning.heartbeat
+    if now >= state.next_broadcast:
+        state.next_broadcast = now + state.tuning.heartbeat
         # What was committed a heartbeat ago has had the time to reach all; a
         # follower that lags by less has caught up, however busy the log is.
-        state.settled = max(state.settled, state.commit_at_beat)
-        state.commit_at_beat = state.commit
+        state.caught_up_index = max(state.caught_up_index, state.commit_at_heartbeat)
+        state.commit_at_heartbeat = state.commit
         sending.broadcast(state, now)
 
 
-def hand_over(state: State, now: float) -> str:
+def transfer_leadership(state: State, now: float) -> str:
     """Send what is missing to the voter with the longest log, then its call to lead.
 
     Return the voter; empty when this replica doesn't lead or hears no other voter.
@@ -136,26 +136,29 @@
         return ""
     oldest = now - state.tuning.election_min
     ready = [
-        (progress.match, progress.contact, replica)
+        (progress.match, progress.last_contact, replica)
         for replica, progress in state.progress_by_replica.items()
         if replica in voters(state.members)
         and progress.counted
-        and progress.contact > oldest
+        and progress.last_contact > oldest
     ]
     if not ready:
         return ""
     successor = max(ready)[2]
     sending.replicate(state, successor, now)
-    state.hold(successor, TimeoutNow(state.term, state.replica, state.hard.boot))
+    state.send_after_sync(
+        successor, TimeoutNow(state.term, state.replica, state.hard.boot)
+    )
     state.count("hand_overs")
     return successor
 
 
-def hears_quorum(state: State, now: float) -> bool:
+def is_quorum_active(state: State, now: float) -> bool:
     """Tell whether a quorum has been heard within an election timeout."""
     oldest = now - state.tuning.election_max
     heard = [
-        replica == state.replica or state.progress_by_replica[replica].contact > oldest
+        replica == state.replica
+        or state.progress_by_replica[replica].last_contact > oldest
         for replica in voters(state.members)
     ]
     return sum(heard) >= quorum(state.members)
@@ -163,21 +166,21 @@
 
 def on_append_reply(state: State, message: AppendReply, now: float) -> None:
     """Note what a follower holds, commit, and go on sending."""
-    progress = _heard(state, message.follower, message, now)
+    progress = _record_contact(state, message.follower, message, now)
     if progress is None:
         return
     if not message.matched:
         progress.rejected(message.hint_index)
         return
     progress.acknowledged(message.match_index)
-    _note_promise(state, message, message.match_index)
+    _update_mark(state, message, message.match_index)
     advance_commit(state, now)
 
 
 def on_snapshot_reply(state: State, message: SnapshotReply, now: float) -> None:
     """Send the next piece, or go on with entries after the last."""
     replica = message.follower
-    progress = _heard(state, replica, message, now)
+    progress = _record_contact(state, replica, message, now)
     if progress is None or progress.snapshot is None:
         return
     if message.last_index != progress.snapshot.index:
@@ -185,7 +188,7 @@
     if message.done:
         progress.snapshot = None
         progress.acknowledged(message.last_index)
-        _note_promise(state, message, message.last_index)
+        _update_mark(state, message, message.last_index)
         advance_commit(state, now)
         return
     if message.offset != progress.snapshot_offset:
@@ -193,13 +196,13 @@
         sending.send_piece(state, replica)
 
 
-def _heard(
+def _record_contact(
     state: State, replica: str, message: AppendReply | SnapshotReply, now: float
 ) -> Progress | None:
     progress = state.progress_by_replica.get(replica)
     if state.role is not Role.LEADER or message.term != state.term or progress is None:
         return None
-    progress.contact = now
+    progress.last_contact = now
     progress.counted = message.counted
     if message.counted:
         progress.round = max(progress.round, message.round)
@@ -207,10 +210,10 @@
     return progress
 
 
-def _note_promise(state: State, reply: AppendReply | SnapshotReply, index: int) -> None:
+def _update_mark(state: State, reply: AppendReply | SnapshotReply, index: int) -> None:
     mark = state.marks_by_replica.get(reply.follower, Mark())
     if (state.term, index) > (mark.term, mark.index):
-        state.note_mark(reply.follower, Mark(reply.boot, state.term, index))
+        state.record_mark(reply.follower, Mark(reply.boot, state.term, index))
 
 
 def may_commit(state: State, index: int) -> bool:
@@ -226,23 +229,23 @@
     """Commit what a quorum has synced, this replica included."""
     if state.role is not Role.LEADER:
         return
-    index = _held_by_quorum(
+    index = _highest_at_quorum(
         state, state.stable, {r: p.match for r, p in state.progress_by_replica.items()}
     )
     if index <= state.commit or not may_commit(state, index):
         return
     state.commit = index
     if state.members.index <= state.commit and not state.is_voter():
-        state.follow(state.term, "", now)
+        state.become_follower(state.term, "", now)
 
 
 def _confirm_round(state: State) -> None:
     rounds = {r: p.round for r, p in state.progress_by_replica.items()}
-    confirmed = _held_by_quorum(state, state.pending_reads.round, rounds)
+    confirmed = _highest_at_quorum(state, state.pending_reads.round, rounds)
     state.read_outcomes += state.pending_reads.resolve(confirmed)
 
 
-def _held_by_quorum(state: State, own: int, value_by_replica: dict[str, int]) -> int:
+def _highest_at_quorum(state: State, own: int, value_by_replica: dict[str, int]) -> int:
     """Return the highest value that a quorum of the voters has reached."""
     values = []
     for replica in voters(state.members):
--- a/bitterntiller/components/replication/models.py
+++ b/bitterntiller/components/replication/models.py
@@ -9,14 +9,14 @@
 from .const import (
     DEFAULT_BATCH_BYTES,
     DEFAULT_BATCH_ENTRIES,
-    DEFAULT_FIRST_ELECTION,
-    DEFAULT_IN_FLIGHT,
-    DEFAULT_LEADERLESS,
+    DEFAULT_FIRST_ELECTION_SPACING,
+    DEFAULT_LEADERLESS_TIMEOUT,
+    DEFAULT_MAX_IN_FLIGHT,
+    DEFAULT_MAX_UNCOMMITTED,
     DEFAULT_PIECE_BYTES,
-    DEFAULT_SILENT_VOTER,
+    DEFAULT_SILENT_VOTER_TIMEOUT,
     DEFAULT_STARTUP_CHECK_GRACE,
-    DEFAULT_TRAILING,
-    DEFAULT_UNCOMMITTED,
+    DEFAULT_TRAILING_ENTRIES,
 )
 
 
@@ -299,15 +299,15 @@
 
     election_min: float = 0.6
     election_max: float = 1.2
-    first_election: float = DEFAULT_FIRST_ELECTION
+    first_election_spacing: float = DEFAULT_FIRST_ELECTION_SPACING
     heartbeat: float = 0.15
     startup_check_grace: float = DEFAULT_STARTUP_CHECK_GRACE
-    leaderless: float = DEFAULT_LEADERLESS
-    silent_voter: float = DEFAULT_SILENT_VOTER
-    voters: int = 0
+    leaderless_timeout: float = DEFAULT_LEADERLESS_TIMEOUT
+    silent_voter_timeout: float = DEFAULT_SILENT_VOTER_TIMEOUT
+    target_voters: int = 0
     batch_bytes: int = DEFAULT_BATCH_BYTES
     batch_entries: int = DEFAULT_BATCH_ENTRIES
-    in_flight: int = DEFAULT_IN_FLIGHT
+    max_in_flight: int = DEFAULT_MAX_IN_FLIGHT
     piece_bytes: int = DEFAULT_PIECE_BYTES
-    uncommitted: int = DEFAULT_UNCOMMITTED
-    trailing: int = DEFAULT_TRAILING
+    max_uncommitted: int = DEFAULT_MAX_UNCOMMITTED
+    trailing_entries: int = DEFAULT_TRAILING_ENTRIES
--- a/bitterntiller/components/replication/outbox.py
+++ b/bitterntiller/components/replication/outbox.py
@@ -8,13 +8,13 @@
 from bitterntiller.core.interfaces import Links
 from bitterntiller.core.runtime import Runtime
 
-MAX_WAITING = 256
+MAX_QUEUED = 256
 """Messages kept for a peer; older ones are dropped, which replication allows."""
 
 
-class _Lane:
+class _PeerQueue:
     def __init__(self) -> None:
-        self.waiting: deque[Any] = deque(maxlen=MAX_WAITING)
+        self.waiting: deque[Any] = deque(maxlen=MAX_QUEUED)
         self.wake = curio.Event()
 
 
@@ -24,20 +24,20 @@
     def __init__(self, runtime: Runtime) -> None:
         self._runtime = runtime
         self._links: Links = runtime.links
-        self._lanes_by_address: dict[str, _Lane] = {}
+        self._queues_by_address: dict[str, _PeerQueue] = {}
 
     async def async_put(self, address: str, message: Any) -> None:
         """Queue a message; it may be lost like any message."""
-        lane = self._lanes_by_address.get(address)
-        if lane is None:
-            lane = self._lanes_by_address[address] = _Lane()
-            await self._runtime.async_spawn(self._async_run(address, lane))
-        lane.waiting.append(message)
-        await lane.wake.set()
-
-    async def _async_run(self, address: str, lane: _Lane) -> None:
+        peer_queue = self._queues_by_address.get(address)
+        if peer_queue is None:
+            peer_queue = self._queues_by_address[address] = _PeerQueue()
+            await self._runtime.async_spawn(self._async_run(address, peer_queue))
+        peer_queue.waiting.append(message)
+        await peer_queue.wake.set()
+
+    async def _async_run(self, address: str, peer_queue: _PeerQueue) -> None:
         while True:
-            await lane.wake.wait()
-            lane.wake.clear()
-            while lane.waiting:
-                await self._links.async_send(address, lane.waiting.popleft())
+            await peer_queue.wake.wait()
+            peer_queue.wake.clear()
+            while peer_queue.waiting:
+                await self._links.async_send(address, peer_queue.waiting.popleft())
--- a/bitterntiller/components/replication/progress.py
+++ b/bitterntiller/components/replication/progress.py
@@ -17,7 +17,7 @@
     """
 
     next: int
-    contact: float
+    last_contact: float
     match: int = 0
     counted: bool = False
     round: int = 0
--- a/bitterntiller/components/replication/records.py
+++ b/bitterntiller/components/replication/records.py
@@ -15,9 +15,11 @@
         term=hard.term if hard else None,
         vote=hard.vote if hard else None,
         boot=hard.boot if hard else None,
-        marks=None if marks is None else [_wire_mark(*item) for item in marks.items()],
+        marks=None
+        if marks is None
+        else [_mark_to_wire(*item) for item in marks.items()],
         truncate_from=persist.truncate_from,
-        entries=wire_entries(persist.entries),
+        entries=entries_to_wire(persist.entries),
     )
     return encode(batch)
 
@@ -31,7 +33,7 @@
     marks = None
     if batch.marks is not None:
         marks = {m.replica: Mark(m.boot, m.term, m.index) for m in batch.marks}
-    entries = plain_entries(batch.entries or ())
+    entries = entries_from_wire(batch.entries or ())
     return Persist(0, hard, marks, batch.truncate_from, entries, None)
 
 
@@ -56,17 +58,17 @@
     return Snapshot(file.index, file.term, members, file.data)
 
 
-def wire_entries(entries: tuple[Entry, ...]) -> list[Any]:
+def entries_to_wire(entries: tuple[Entry, ...]) -> list[Any]:
     """Return entries as Thrift structures."""
     return [messages.Entry(*entry) for entry in entries]
 
 
-def plain_entries(entries: list[Any]) -> tuple[Entry, ...]:
+def entries_from_wire(entries: list[Any]) -> tuple[Entry, ...]:
     """Return Thrift structures as entries."""
     return tuple(Entry(e.index, e.term, e.kind, e.data) for e in entries)
 
 
-def _wire_mark(replica: str, mark: Mark) -> Any:
+def _mark_to_wire(replica: str, mark: Mark) -> Any:
     return messages.Mark(replica, *mark)
 
 
--- a/bitterntiller/components/replication/repair_decisions.py
+++ b/bitterntiller/components/replication/repair_decisions.py
@@ -40,8 +40,8 @@
     progress = state.progress_by_replica.get(replica)
     if progress is None or not progress.counted:
         return False
-    heard = progress.contact > now - state.tuning.election_max
-    return heard and progress.match >= state.settled
+    heard = progress.last_contact > now - state.tuning.election_max
+    return heard and progress.match >= state.caught_up_index
 
 
 def failure_tolerance(state: State, now: float) -> int | None:
@@ -55,7 +55,7 @@
 def is_silent(state: State, replica: str, now: float) -> bool:
     """Tell whether nothing has come from a replica for an election timeout."""
     progress = state.progress_by_replica.get(replica)
-    return bool(progress) and progress.contact <= now - state.tuning.election_max
+    return bool(progress) and progress.last_contact <= now - state.tuning.election_max
 
 
 def with_learner(
@@ -85,7 +85,7 @@
     for learner in state.members.all:
         if learner.voter or not is_healthy(state, learner.replica, now):
             continue
-        if learner.promote or len(voters(state.members)) < state.tuning.voters:
+        if learner.promote or len(voters(state.members)) < state.tuning.target_voters:
             return _with_member(
                 state.members, learner._replace(voter=True, promote=False)
             )
@@ -102,7 +102,7 @@
         return _without_voter(state, dead, learner, now)
     command = next((w for w in commands if w.add == learner.host), None)
     if command is None:
-        lost = _longest_silent_voter(state, now) if state.tuning.voters else None
+        lost = _longest_silent_voter(state, now) if state.tuning.target_voters else None
         return None if lost is None else _without_voter(state, lost, learner, now)
     target = _voter_to_remove(state, command, now)
     if target is None and _has_voter(state, learner.host):
@@ -126,9 +126,9 @@
 
 def _longest_silent_voter(state: State, now: float) -> Member | None:
     """Return the voter that has been silent for longest, if that is long enough."""
-    oldest = now - state.tuning.silent_voter
+    oldest = now - state.tuning.silent_voter_timeout
     silent = {
-        member: state.progress_by_replica[member.replica].contact
+        member: state.progress_by_replica[member.replica].last_contact
         for member in state.members.all
         if member.voter and member.replica in state.progress_by_replica
     }
--- a/bitterntiller/components/replication/sending.py
+++ b/bitterntiller/components/replication/sending.py
@@ -16,10 +16,10 @@
 def replicate(state: State, replica: str, now: float) -> bool:
     """Send entries as far as flow control lets; tell whether any left."""
     tuning, progress, sent = state.tuning, state.progress_by_replica[replica], False
-    if progress.contact < now - tuning.election_max:
+    if progress.last_contact < now - tuning.election_max:
         return False
     while progress.next <= state.log.last_index:
-        if not progress.may_send(tuning.in_flight):
+        if not progress.may_send(tuning.max_in_flight):
             break
         if progress.next <= state.log.base_index:
             return _begin_snapshot(state, replica)
--- a/bitterntiller/components/replication/startup_check.py
+++ b/bitterntiller/components/replication/startup_check.py
@@ -18,14 +18,16 @@
     been lost since, which would otherwise keep the rest from electing.
     """
     if state.startup_check.done:
-        leaderless = now - max(state.heard, state.startup_check.started_at)
-        if state.role is Role.LEADER or leaderless < state.tuning.leaderless:
+        leaderless = now - max(
+            state.last_leader_contact, state.startup_check.started_at
+        )
+        if state.role is Role.LEADER or leaderless < state.tuning.leaderless_timeout:
             return
         # A candidate gives up, since it might else lead without being counted.
         state.role = Role.FOLLOWER
         state.startup_check = StartupCheck(now)
-    if now >= state.beat:
-        state.beat = now + state.tuning.heartbeat
+    if now >= state.next_broadcast:
+        state.next_broadcast = now + state.tuning.heartbeat
         _send_checks(state)
     _complete_if_sufficient(state, now)
 
@@ -34,7 +36,7 @@
     check = _check_message(state)
     members = state.startup_check.newest_membership(state.members)
     for voter in sorted(state.startup_check.unanswered_voters(state.replica, members)):
-        state.hold(voter, check)
+        state.send_after_sync(voter, check)
 
 
 def _check_message(state: State) -> ReturnCheck:
@@ -65,7 +67,7 @@
         state.set_term(highest, VOTE_BARRED)
     elif state.hard.vote == NO_VOTE and (partial or highest == state.term):
         state.set_term(state.term, VOTE_BARRED)
-    state.hasten_deadline(now)
+    state.start_first_election_timer(now)
     state.count("returns_partial" if partial else "returns_full")
 
 
@@ -78,7 +80,7 @@
     mark = state.marks_by_replica.get(replica, Mark())
     verdict = identity.verify_identity(message, mark, state.members, state.commit)
     if verdict == VERDICT_FINE:
-        state.note_mark(replica, mark._replace(boot=message.boot), due=True)
+        state.record_mark(replica, mark._replace(boot=message.boot), due=True)
     reset_progress(state, replica)
     _check_started_voter(state, replica)
     reply = ReturnCheckReply(
@@ -92,7 +94,7 @@
         encode_members(state.members.all),
         state.hard.boot,
     )
-    state.hold(replica, reply)
+    state.send_after_sync(replica, reply)
 
 
 def _check_started_voter(state: State, replica: str) -> None:
@@ -106,7 +108,7 @@
     if not startup_check.done and replica in startup_check.unanswered_voters(
         state.replica, members
     ):
-        state.hold(replica, _check_message(state))
+        state.send_after_sync(replica, _check_message(state))
 
 
 def reset_progress(state: State, replica: str) -> None:
--- a/bitterntiller/components/replication/state.py
+++ b/bitterntiller/components/replication/state.py
@@ -24,7 +24,7 @@
 from .progress import Progress
 from .read_index import PendingReads
 
-APPLY_AT_ONCE = 2048
+MAX_APPLY_BATCH = 2048
 
 
 class Role(StrEnum):
@@ -57,26 +57,26 @@
         self.log = Log(restored.snapshot, restored.entries)
         self.role = Role.FOLLOWER
         self.leader = ""
-        self.heard = now
-        self.met_leader = False
-        self.deadline = now
-        self.beat = now
+        self.last_leader_contact = now
+        self.has_met_leader = False
+        self.election_deadline = now
+        self.next_broadcast = now
         self.votes: set[str] = set()
-        self.settled = 0
-        self.commit_at_beat = 0
+        self.caught_up_index = 0
+        self.commit_at_heartbeat = 0
         self.progress_by_replica: dict[str, Progress] = {}
         self.pending_reads = PendingReads()
         self.startup_check = StartupCheck(now)
         self.retired = ""
         self.stalled = False
-        self.assembling: tuple[int, int, bytearray] | None = None
+        self.incoming_snapshot: tuple[int, int, bytearray] | None = None
         self.read_outcomes: list[ReadOutcome] = []
         self.counters: dict[str, int] = {}
         self.commit = restored.snapshot.index if restored.snapshot else 0
-        self.handed = self.commit
+        self.delivered = self.commit
         self.stable = self.log.last_index
         self.members = self.members_at(self.log.last_index)
-        self._saved = self.log.last_index
+        self._last_written = self.log.last_index
         self._truncate_from: int | None = None
         self._hard_dirty = True
         self._marks_dirty = False
@@ -86,10 +86,10 @@
         self._pending: Persist | None = None
         self._pending_last = 0
         self._number = 0
-        self._free: list[Outgoing] = []
+        self._ready: list[Outgoing] = []
         self._held: list[Outgoing] = []
         self._awaiting: list[Outgoing] = []
-        self.reset_deadline(now)
+        self.reset_election_timer(now)
 
     @property
     def term(self) -> int:
@@ -100,12 +100,14 @@
         """Add one to a counter for the dump."""
         self.counters[name] = self.counters.get(name, 0) + 1
 
-    def reset_deadline(self, now: float) -> None:
+    def reset_election_timer(self, now: float) -> None:
         """Put off the next election by a random time."""
         tuning = self.tuning
-        self.deadline = now + self.rng.uniform(tuning.election_min, tuning.election_max)
+        self.election_deadline = now + self.rng.uniform(
+            tuning.election_min, tuning.election_max
+        )
 
-    def hasten_deadline(self, now: float) -> None:
+    def start_first_election_timer(self, now: float) -> None:
         """Have the next election soon, if no leader was heard since the start.
 
         Voters that have all been started anew know that none of them leads; waiting for
@@ -113,26 +115,26 @@
         begins at its place among the voters, so that two seldom ask at once. A living
         leader loses nothing: who hears it refuses the pre-vote.
         """
-        if self.met_leader:
-            self.reset_deadline(now)
+        if self.has_met_leader:
+            self.reset_election_timer(now)
             return
         order = sorted(voters(self.members))
         place = order.index(self.replica) if self.replica in order else len(order)
-        pause = self.tuning.first_election * (place + self.rng.random() / 2)
-        self.deadline = now + pause
+        pause = self.tuning.first_election_spacing * (place + self.rng.random() / 2)
+        self.election_deadline = now + pause
 
-    def put_off_election(self, now: float) -> None:
+    def start_retry_timer(self, now: float) -> None:
         """Let time pass until this replica tries again to be elected.
 
         At a start that is not long, as the others may not yet have answered each other,
         and refuse a pre-vote until then.
         """
-        if self.met_leader:
-            self.reset_deadline(now)
+        if self.has_met_leader:
+            self.reset_election_timer(now)
             return
         count = max(1, len(voters(self.members)))
-        pause = self.tuning.first_election * count
-        self.deadline = now + self.rng.uniform(pause, 2 * pause)
+        pause = self.tuning.first_election_spacing * count
+        self.election_deadline = now + self.rng.uniform(pause, 2 * pause)
 
     def is_voter(self) -> bool:
         """Tell whether this replica votes in the newest membership it knows."""
@@ -143,20 +145,20 @@
         self.hard = self.hard._replace(term=term, vote=vote)
         self._hard_dirty = True
 
-    def follow(self, term: int, leader: str, now: float) -> None:
+    def become_follower(self, term: int, leader: str, now: float) -> None:
         """Become a follower, in a higher term if need be."""
         if term > self.term:
             self.set_term(term)
         if self.role is Role.LEADER:
             self.read_outcomes += self.pending_reads.fail()
             self.progress_by_replica.clear()
-            self.heard = now
-            self.reset_deadline(now)
+            self.last_leader_contact = now
+            self.reset_election_timer(now)
             self.count("stepped_down")
         self.role = Role.FOLLOWER
         self.leader = leader
 
-    def note_mark(self, replica: str, mark: Mark, due: bool = False) -> None:
+    def record_mark(self, replica: str, mark: Mark, due: bool = False) -> None:
         """Remember what a peer has promised; synced at once only when due."""
         self.marks_by_replica[replica] = mark
         self._marks_dirty = True
@@ -173,8 +175,8 @@
         self.log.truncate_from(index)
         self.stable = min(self.stable, index - 1)
         self._pending_last = min(self._pending_last, index - 1)
-        if index <= self._saved:
-            self._saved = index - 1
+        if index <= self._last_written:
+            self._last_written = index - 1
             self._truncate_from = min(index, self._truncate_from or index)
         if self.members.index >= index:
             self.members = self.members_at(index - 1)
@@ -191,7 +193,7 @@
         self.log.reset(snapshot)
         self.snapshot = snapshot
         self.commit = snapshot.index
-        self.handed = snapshot.index
+        self.delivered = snapshot.index
         self.members = self.members_at(self.log.last_index)
         self._restore = snapshot
         self._snapshot_dirty = True
@@ -206,10 +208,10 @@
             return
         self.snapshot = Snapshot(index, term, self.members_at(index), data)
         self._snapshot_dirty = True
-        self.log.compact(index - self.tuning.trailing)
+        self.log.compact(index - self.tuning.trailing_entries)
         self.count("snapshots_taken")
 
-    def hold(self, to: str, message: Message) -> None:
+    def send_after_sync(self, to: str, message: Message) -> None:
         """Send once all records made so far are synced."""
         self._held.append(Outgoing(to, message))
 
@@ -220,17 +222,17 @@
         other entries in the same one.
         """
         unsynced = self._hard_dirty or (self._pending and self._pending.hard)
-        (self._held if unsynced else self._free).append(Outgoing(to, message))
+        (self._held if unsynced else self._ready).append(Outgoing(to, message))
 
-    def take(self) -> Effects:
+    def take_effects(self) -> Effects:
         """Return what is to be done now; one write is under way at a time."""
         persist = None if self._pending else self._next_persist()
         if persist:
             self._awaiting, self._held = self._held, []
         elif not self._pending:
-            self._free += self._held
+            self._ready += self._held
             self._held = []
-        messages, self._free = tuple(self._free), []
+        messages, self._ready = tuple(self._ready), []
         reads, self.read_outcomes = tuple(self.read_outcomes), []
         restore, self._restore = self._restore, None
         committed = self._next_committed()
@@ -239,13 +241,13 @@
     def _next_committed(self) -> tuple[Entry, ...]:
         # Only what is synced here too is applied, so that a snapshot of the
         # state never runs ahead of this replica's own log.
-        stop = min(self.commit, self.stable, self.handed + APPLY_AT_ONCE)
-        committed = self.log.slice(self.handed + 1, stop)
-        self.handed = max(self.handed, stop)
+        stop = min(self.commit, self.stable, self.delivered + MAX_APPLY_BATCH)
+        committed = self.log.slice(self.delivered + 1, stop)
+        self.delivered = max(self.delivered, stop)
         return committed
 
     def _next_persist(self) -> Persist | None:
-        entries = self.log.slice(self._saved + 1, self.log.last_index)
+        entries = self.log.slice(self._last_written + 1, self.log.last_index)
         due = self._hard_dirty or self._marks_due or self._snapshot_dirty
         if not (due or entries or self._truncate_from):
             return None
@@ -261,7 +263,7 @@
             entries,
             whole,
         )
-        self._pending_last = self._saved = self.log.last_index
+        self._pending_last = self._last_written = self.log.last_index
         self._truncate_from = None
         self._hard_dirty = self._marks_dirty = self._marks_due = False
         self._snapshot_dirty = False
@@ -273,7 +275,7 @@
             return
         self._pending = None
         self.stable = max(self.stable, self._pending_last)
-        self._free += self._awaiting
+        self._ready += self._awaiting
         self._awaiting = []
 
 
--- a/bitterntiller/components/replication/storage.py
+++ b/bitterntiller/components/replication/storage.py
@@ -39,7 +39,7 @@
 _IDENTITY = "identity"
 _LOCK = "lock"
 _TEMPORARY = ".new"
-_NO_ROOM = (errno.ENOSPC, errno.EDQUOT)
+_DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
 
 
 class Storage:
@@ -51,7 +51,7 @@
         self._failed = ""
         self._log_fd = -1
         self._log_number = 0
-        self._head = frames.new_head(0)
+        self._header = frames.new_header(0)
         folder.mkdir(parents=True, exist_ok=True)
         self._lock_fd = _lock(folder)
         try:
@@ -80,7 +80,7 @@
             raise StorageFailedError(self._failed)
         try:
             self._write(persist)
-        except _NoRoomError as error:
+        except _DiskFullError as error:
             raise StorageFullError(f"{self._folder}: no room") from error
         except OSError as error:
             self._failed = f"{self._folder}: {error}"
@@ -92,7 +92,9 @@
             self._begin_log(persist.snapshot.index, persist)
             self._drop_old(persist.snapshot.index)
             return
-        _write_all(self._log_fd, frames.encode_frame(self._head, encode_batch(persist)))
+        _write_all(
+            self._log_fd, frames.encode_frame(self._header, encode_batch(persist))
+        )
         os.fdatasync(self._log_fd)
 
     def retire(self) -> None:
@@ -137,11 +139,11 @@
         if path is None:
             raise LogDamagedError(str(self._folder), 0, "the log is missing")
         data = path.read_bytes()
-        payloads, sound = frames.decode_frames(str(path), data, whole=1)
-        self._head = frames.decode_head(str(path), data)
-        if self._head.base > (snapshot.index if snapshot else 0):
+        payloads, sound = frames.decode_frames(str(path), data, required_frames=1)
+        self._header = frames.decode_header(str(path), data)
+        if self._header.base > (snapshot.index if snapshot else 0):
             raise LogDamagedError(
-                str(path), 0, f"snapshot {self._head.base} is missing"
+                str(path), 0, f"snapshot {self._header.base} is missing"
             )
         replay = Replay(PersistentState(replica, HardState(), {}, snapshot, ()))
         for payload in payloads:
@@ -158,27 +160,31 @@
         _, path = max(self._numbered(_SNAPSHOT), default=(0, None))
         if path is None:
             return None
-        payloads, _ = frames.decode_frames(str(path), path.read_bytes(), whole=1)
+        payloads, _ = frames.decode_frames(
+            str(path), path.read_bytes(), required_frames=1
+        )
         try:
             return decode_snapshot(payloads[0])
         except MalformedMessageError as error:
-            raise LogDamagedError(str(path), frames.HEAD_SIZE, str(error)) from error
+            raise LogDamagedError(str(path), frames.HEADER_SIZE, str(error)) from error
 
     def _write_snapshot(self, snapshot: Snapshot) -> None:
-        head = frames.new_head(snapshot.index)
-        frame = frames.encode_frame(head, encode_snapshot(snapshot))
-        self._write_file(f"snapshot-{snapshot.index}", frames.encode_head(head) + frame)
+        header = frames.new_header(snapshot.index)
+        frame = frames.encode_frame(header, encode_snapshot(snapshot))
+        self._write_file(
+            f"snapshot-{snapshot.index}", frames.encode_header(header) + frame
+        )
 
     def _begin_log(self, base: int, whole: Persist) -> None:
-        head = frames.new_head(base)
-        frame = frames.encode_frame(head, encode_batch(whole))
+        header = frames.new_header(base)
+        frame = frames.encode_frame(header, encode_batch(whole))
         number = self._log_number + 1
-        path = self._write_file(f"log-{number}", frames.encode_head(head) + frame)
+        path = self._write_file(f"log-{number}", frames.encode_header(header) + frame)
         if self._log_fd != -1:
             os.close(self._log_fd)
         self._log_fd = os.open(path, os.O_WRONLY | os.O_APPEND)
         self._log_number = number
-        self._head = head
+        self._header = header
 
     def _write_file(self, name: str, data: bytes) -> Path:
         """Write a file that is there whole or not at all after a crash."""
@@ -247,7 +253,7 @@
     return fd
 
 
-class _NoRoomError(Exception):
+class _DiskFullError(Exception):
     """A write found no room; the file is as long as it was before."""
 
 
@@ -259,10 +265,10 @@
         while view:
             view = view[os.write(fd, view) :]
     except OSError as error:
-        if error.errno not in _NO_ROOM:
+        if error.errno not in _DISK_FULL_ERRNOS:
             raise
         os.ftruncate(fd, before)
-        raise _NoRoomError from error
+        raise _DiskFullError from error
 
 
 def _sync_folder(folder: Path) -> None:
--- a/bitterntiller/components/replication/waiters.py
+++ b/bitterntiller/components/replication/waiters.py
@@ -8,7 +8,7 @@
 from .models import LogPosition, ReadOutcome
 
 
-class Proposal:
+class PendingProposal:
     """A command in the log whose fate is awaited."""
 
     def __init__(self, term: int) -> None:
@@ -17,7 +17,7 @@
         self.result: ProposalResult | None = None
 
 
-class Read:
+class PendingRead:
     """A question for a confirmed index; index is None when it failed."""
 
     def __init__(self) -> None:
@@ -29,39 +29,41 @@
     """All who wait, by index or token."""
 
     def __init__(self) -> None:
-        self._proposals_by_index: dict[int, Proposal] = {}
-        self._reads_by_token: dict[int, Read] = {}
-        self._unapplied: list[Read] = []
+        self._proposals_by_index: dict[int, PendingProposal] = {}
+        self._reads_by_token: dict[int, PendingRead] = {}
+        self._unapplied: list[PendingRead] = []
         self._last_token = 0
 
-    def add_proposal(self, place: LogPosition) -> Proposal:
+    def add_proposal(self, position: LogPosition) -> PendingProposal:
         """Wait for what becomes of an entry."""
-        proposal = Proposal(place.term)
-        self._proposals_by_index[place.index] = proposal
+        proposal = PendingProposal(position.term)
+        self._proposals_by_index[position.index] = proposal
         return proposal
 
-    def drop_proposal(self, place: LogPosition, proposal: Proposal) -> None:
+    def drop_proposal(self, position: LogPosition, proposal: PendingProposal) -> None:
         """Stop waiting for an entry."""
-        if self._proposals_by_index.get(place.index) is proposal:
-            del self._proposals_by_index[place.index]
+        if self._proposals_by_index.get(position.index) is proposal:
+            del self._proposals_by_index[position.index]
 
     def new_token(self) -> int:
         """Return a token for a new question."""
         self._last_token += 1
         return self._last_token
 
-    def add_read(self, token: int) -> Read:
+    def add_read(self, token: int) -> PendingRead:
         """Wait for the answer to a question."""
-        self._reads_by_token[token] = Read()
+        self._reads_by_token[token] = PendingRead()
         return self._reads_by_token[token]
 
-    def drop_read(self, token: int, read: Read) -> None:
+    def drop_read(self, token: int, read: PendingRead) -> None:
         """Stop waiting for an answer."""
         self._reads_by_token.pop(token, None)
         if read in self._unapplied:
             self._unapplied.remove(read)
 
-    async def async_applied(self, index: int, term: int, result: bytes) -> None:
+    async def async_resolve_proposal(
+        self, index: int, term: int, result: bytes
+    ) -> None:
         """Tell who proposed an entry that it is applied."""
         proposal = self._proposals_by_index.pop(index, None)
         if proposal is None:
@@ -72,7 +74,7 @@
         proposal.result = ProposalResult(status, result, "")
         await proposal.done.set()
 
-    async def async_read(self, outcome: ReadOutcome, applied: int) -> None:
+    async def async_resolve_read(self, outcome: ReadOutcome, applied: int) -> None:
         """Take the answer to a question; it counts once its index is applied."""
         read = self._reads_by_token.pop(outcome.token, None)
         if read is None:
@@ -83,13 +85,13 @@
             return
         await read.done.set()
 
-    async def async_advance(self, applied: int) -> None:
+    async def async_notify_applied(self, applied: int) -> None:
         """Tell those whose read index is applied now."""
         for read in [r for r in self._unapplied if (r.index or 0) <= applied]:
             self._unapplied.remove(read)
             await read.done.set()
 
-    async def async_fail(self) -> None:
+    async def async_fail_all(self) -> None:
         """Tell all that wait that the outcome is not known."""
         proposals = list(self._proposals_by_index.values())
         reads = [*self._reads_by_token.values(), *self._unapplied]
--- a/bitterntiller/components/replication/wire.py
+++ b/bitterntiller/components/replication/wire.py
@@ -5,7 +5,7 @@
 from bitterntiller.protocol import messages as wire
 
 from . import models
-from .records import plain_entries, wire_entries
+from .records import entries_from_wire, entries_to_wire
 
 _PAIRS = (
     (models.PreVote, wire.PreVote),
@@ -30,7 +30,7 @@
     """Return a message as its Thrift structure."""
     fields = message._asdict()
     if "entries" in fields:
-        fields["entries"] = wire_entries(fields["entries"])
+        fields["entries"] = entries_to_wire(fields["entries"])
     return _WIRE_BY_MODEL[type(message)](**fields)
 
 
@@ -40,5 +40,5 @@
     fields = {name: getattr(structure, name) for name in model._fields}
     fields = {name: value for name, value in fields.items() if value is not None}
     if "entries" in fields:
-        fields["entries"] = plain_entries(fields["entries"])
+        fields["entries"] = entries_from_wire(fields["entries"])
     return model(**fields)
--- a/bitterntiller/components/replication/writer.py
+++ b/bitterntiller/components/replication/writer.py
@@ -37,29 +37,29 @@
         self._storage = storage
         self._replica = replica
         self._wake = wake
-        self._wanted = curio.Event()
+        self._write_requested = curio.Event()
         self._write: Persist | None = None
         self._write_began: float | None = None
         self._writing = curio.Lock()
 
-    async def async_want(self, write: Persist) -> None:
+    async def async_request(self, write: Persist) -> None:
         """Have a write made; it takes the place of one that has not begun."""
         self._write = write
-        await self._wanted.set()
+        await self._write_requested.set()
 
-    async def async_retire(self, begin_anew: Callable[[], None]) -> None:
+    async def async_retire(self, reset_replica: Callable[[], None]) -> None:
         """Put the present log away; begin_anew is called before the next write."""
         async with self._writing:
             self._write = None
             async with curio.disable_cancellation():
                 await curio.run_in_thread(self._storage.retire)
-            begin_anew()
+            reset_replica()
 
     async def async_run(self) -> None:
         """Write for ever."""
         while True:
-            await self._wanted.wait()
-            self._wanted.clear()
+            await self._write_requested.wait()
+            self._write_requested.clear()
             async with self._writing:
                 await self._async_write()
 
@@ -80,20 +80,20 @@
 
     async def _async_write_out(self, write: Persist) -> None:
         """Write until there is room: a full disk is emptied by somebody else."""
-        told = False
+        reported = False
         while True:
             try:
                 async with curio.disable_cancellation():
                     await curio.run_in_thread(self._storage.write, write)
                 return
             except StorageFullError as error:
-                if not told:
+                if not reported:
                     events.emit("disk-full", text=error.text)
-                told = True
+                reported = True
                 self._runtime.metrics.count("replication.disk_full")
                 await curio.sleep(FULL_PAUSE)
 
-    def note_stall(self, now: float) -> None:
+    def check_stall(self, now: float) -> None:
         """Give the lead up when the own disk takes too long.
 
         A leader applies only what its own disk holds, so that all callers of control
--- a/tests/components/replication/cluster.py
+++ b/tests/components/replication/cluster.py
@@ -25,7 +25,7 @@
 from .profiles import MIXED, Profile
 
 WAITS_FOR_ALL = 1e9
-TUNING = Tuning(trailing=2)
+TUNING = Tuning(trailing_entries=2)
 
 
 @dataclass
@@ -85,7 +85,7 @@
             startup_check_grace=grace,
             piece_bytes=pieces,
             batch_entries=batch,
-            first_election=self.profile.first_election,
+            first_election_spacing=self.profile.first_election_spacing,
         )
         seed = random.Random(self.rng.random())
         node.replica = Replica(node.disk, tuning, seed, node.clock)
@@ -119,7 +119,7 @@
             return
         for other in self.nodes.values():
             if other.replica and join_decisions.is_empty(other.replica.state):
-                join_decisions.hear_empty(state, other.disk.replica)
+                join_decisions.on_empty_follower(state, other.disk.replica)
             if other.replica and not find(state.members, other.disk.replica):
                 new = repair_decisions.with_learner(
                     state.members, other.disk.replica, *[other.host] * 2
@@ -153,7 +153,7 @@
         return not self.fragile and self._all_up() and self._full_redundancy()
 
     def after(self, node: Node) -> None:
-        effects = node.replica.take(node.clock)
+        effects = node.replica.take_effects(node.clock)
         if effects.retired:
             self.new_identity(node)
             return
--- a/tests/components/replication/explorer.py
+++ b/tests/components/replication/explorer.py
@@ -109,7 +109,7 @@
 
     def hand_over(self) -> None:
         for node in self.leaders():
-            node.replica.hand_over(node.clock)
+            node.replica.transfer_leadership(node.clock)
             self.after(node)
 
     def cut(self) -> None:
--- a/tests/components/replication/mutations.py
+++ b/tests/components/replication/mutations.py
@@ -28,15 +28,15 @@
 
 
 def _unsynced(patch, cls):
-    hold = State.hold
+    send_after_sync = State.send_after_sync
 
     def send_at_once(self, to, message):
         if isinstance(message, cls):
-            self._free.append(Outgoing(to, message))
+            self._ready.append(Outgoing(to, message))
         else:
-            hold(self, to, message)
+            send_after_sync(self, to, message)
 
-    patch.setattr(State, "hold", send_at_once)
+    patch.setattr(State, "send_after_sync", send_at_once)
 
 
 def vote_told_before_sync(patch):
@@ -48,13 +48,13 @@
 
 
 def own_entries_count_unsynced(patch):
-    held = leading._held_by_quorum
+    highest = leading._highest_at_quorum
 
     def count(state, own, value_by_replica):
         own = state.log.last_index if own == state.stable else own
-        return held(state, own, value_by_replica)
+        return highest(state, own, value_by_replica)
 
-    patch.setattr(leading, "_held_by_quorum", count)
+    patch.setattr(leading, "_highest_at_quorum", count)
 
 
 def no_term_check(patch):
@@ -78,21 +78,21 @@
 
 
 def no_check_of_previous_entry(patch):
-    def agrees(state, message):
+    def has_previous_entry(state, message):
         return message.prev_index <= state.log.last_index
 
-    patch.setattr(following, "agrees", agrees)
+    patch.setattr(following, "has_previous_entry", has_previous_entry)
 
 
 def late_append_cuts_the_log(patch):
-    take_over = following._take_over
+    append_or_replace = following._append_or_replace
 
     def cut(state, entry):
-        take_over(state, entry)
+        append_or_replace(state, entry)
         if entry.index < state.log.last_index:
             state.truncate_from(entry.index + 1)
 
-    patch.setattr(following, "_take_over", cut)
+    patch.setattr(following, "_append_or_replace", cut)
 
 
 def commits_beyond_what_was_compared(patch):
@@ -156,7 +156,7 @@
 
 def lost_disk_keeps_its_identity(patch):
     """Its boot number would give it away too, so that is not compared either."""
-    patch.setattr(core, "is_of_earlier_start", lambda state, message: False)
+    patch.setattr(core, "is_from_earlier_boot", lambda state, message: False)
 
     def same_identity(self, node):
         node.disk = initial_persistent_state(node.disk.replica)
--- a/tests/components/replication/profiles.py
+++ b/tests/components/replication/profiles.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from bitterntiller.components.replication.const import DEFAULT_FIRST_ELECTION
+from bitterntiller.components.replication.const import DEFAULT_FIRST_ELECTION_SPACING
 
 WEIGHTS = {
     "deliver": 500,
@@ -38,7 +38,7 @@
     hosts: str = "abcd"
     first: int = 3
     grace: float = 0.5
-    first_election: float = DEFAULT_FIRST_ELECTION
+    first_election_spacing: float = DEFAULT_FIRST_ELECTION_SPACING
     batch: int = 3
     steps: int = 2500
 
--- a/tests/components/replication/script.py
+++ b/tests/components/replication/script.py
@@ -13,7 +13,7 @@
     """Return connected replicas that have asked about themselves."""
     # A story says who campaigns; nobody else does so by itself within its ticks.
     profile = Profile(
-        hosts=hosts, first=len(hosts), grace=0.0, batch=1, first_election=0.5
+        hosts=hosts, first=len(hosts), grace=0.0, batch=1, first_election_spacing=0.5
     )
     world = World(1, profile)
     world.calm, world.lateness = True, 0.0
--- a/tests/components/replication/test_automatic.py
+++ b/tests/components/replication/test_automatic.py
@@ -10,7 +10,7 @@
 
 from .script import elect, settle, world_of
 
-AUTOMATIC = Tuning(trailing=2, voters=3, silent_voter=2.0)
+AUTOMATIC = Tuning(trailing_entries=2, target_voters=3, silent_voter_timeout=2.0)
 
 
 def led_world(hosts: str, voters_wanted: int):
@@ -18,14 +18,14 @@
     assert elect(world, hosts[0], hosts)
     settle(world, hosts)
     state = world.nodes[hosts[0]].replica.state
-    state.tuning = AUTOMATIC._replace(voters=voters_wanted)
+    state.tuning = AUTOMATIC._replace(target_voters=voters_wanted)
     return world, state
 
 
-def add_learner(state, now: float, contact: float) -> Member:
+def add_learner(state, now: float, last_contact: float) -> Member:
     learner = Member("z/1", "z", "z", False)
     state.members = state.members._replace(all=(*state.members.all, learner))
-    progress = Progress(1, contact, match=state.log.last_index, counted=True)
+    progress = Progress(1, last_contact, match=state.log.last_index, counted=True)
     state.progress_by_replica["z/1"] = progress
     return learner
 
@@ -49,7 +49,7 @@
     add_learner(state, now + 3, now + 3)
     for replica, progress in state.progress_by_replica.items():
         if replica.startswith("b/"):
-            progress.contact = now + 3
+            progress.last_contact = now + 3
     step = repair_decisions.next_membership(state, [], now + 3)
     assert step is not None
     assert not any(member.host == "c" for member in step)
@@ -62,7 +62,7 @@
     now = world.nodes["a"].clock
     add_learner(state, now, now)
     for progress in state.progress_by_replica.values():
-        progress.contact = now
+        progress.last_contact = now
     assert repair_decisions.next_membership(state, [], now) is None
     assert len(voters(state.members)) == 3
 
--- a/tests/components/replication/test_hand_over.py
+++ b/tests/components/replication/test_hand_over.py
@@ -18,7 +18,7 @@
 def hand_over(world: World) -> str:
     """Have a hand over and stop; return who was asked."""
     node = world.nodes["a"]
-    successor = node.replica.hand_over(node.clock)
+    successor = node.replica.transfer_leadership(node.clock)
     world.after(node)
     return successor
 
@@ -69,7 +69,7 @@
 def test_replica_that_does_not_lead_hands_nothing_over(host):
     world = led_by_a()
     node = world.nodes[host]
-    assert node.replica.hand_over(node.clock) == ""
+    assert node.replica.transfer_leadership(node.clock) == ""
 
 
 def test_leader_that_hears_nobody_keeps_its_lead():
--- a/tests/components/replication/test_join_decisions.py
+++ b/tests/components/replication/test_join_decisions.py
@@ -64,7 +64,7 @@
     first = replica("a/1", rng)
     join = messages.Join("b/1", "b", "y", True)
     assert join_decisions.answer(first, OWN, join, 100.0).status == "fresh"
-    first.form([Member("a/1", "a", "x", True), Member("b/1", "b", "y", True)])
+    first.bootstrap([Member("a/1", "a", "x", True), Member("b/1", "b", "y", True)])
     assert join_decisions.answer(first, OWN, join, 100.0).status == "formed"
     lost = messages.Join("b/2", "b", "y", True)
     assert join_decisions.answer(first, OWN, lost, 100.0).status == "exists"
@@ -77,10 +77,10 @@
     newcomer's snapshot, which takes long, is not begun again.
     """
     leader = replica("a/1", rng)
-    leader.form([Member("a/1", "a", "x", True)])
+    leader.bootstrap([Member("a/1", "a", "x", True)])
     for now in (101.0, 102.0, 103.0, 103.1):
         leader.tick(now)
-        if write := leader.take(now).persist:
+        if write := leader.take_effects(now).persist:
             leader.persisted(write.number, now)
     join_decisions.answer(leader, OWN, messages.Join("d/1", "d", "y", True), 103.1)
     progress = leader.state.progress_by_replica["d/1"]
@@ -95,7 +95,7 @@
 def test_a_moved_host_tells_its_new_address(rng):
     """A host gets another IP number and is never reached again."""
     host = replica("a/1", rng)
-    host.form([Member("a/1", "a", "old", True)])
+    host.bootstrap([Member("a/1", "a", "old", True)])
     assert not join_decisions.needs_joining(host.state, "old")
     assert join_decisions.needs_joining(host.state, "new")
     moved = repair_decisions.with_learner(host.state.members, "a/1", "a", "new")
--- a/tests/components/replication/test_restart.py
+++ b/tests/components/replication/test_restart.py
@@ -4,7 +4,7 @@
 
 from bitterntiller.components.replication import repair_decisions
 from bitterntiller.components.replication.const import (
-    DEFAULT_FIRST_ELECTION,
+    DEFAULT_FIRST_ELECTION_SPACING,
     DEFAULT_STARTUP_CHECK_GRACE,
 )
 from bitterntiller.components.replication.identity import StartupCheck
@@ -113,10 +113,11 @@
     drain(world, "abcde")
     assert all(node.replica.state.startup_check.done for node in world.nodes.values())
     waits = sorted(
-        node.replica.state.deadline - node.clock for node in world.nodes.values()
+        node.replica.state.election_deadline - node.clock
+        for node in world.nodes.values()
     )
     gaps = [later - sooner for sooner, later in zip(waits, waits[1:], strict=False)]
-    assert min(gaps) >= DEFAULT_FIRST_ELECTION / 2
+    assert min(gaps) >= DEFAULT_FIRST_ELECTION_SPACING / 2
 
 
 def test_a_repair_waits_until_the_old_identity_is_known_to_be_silent():
@@ -139,6 +140,6 @@
     assert repair_decisions.next_membership(state, commands, now) is None
     silent = now + state.tuning.election_max + 0.1
     for replica in ("b/2", "c/1"):
-        state.progress_by_replica[replica].contact = silent
+        state.progress_by_replica[replica].last_contact = silent
     step = repair_decisions.next_membership(state, commands, silent)
     assert [member.replica for member in step] == ["a/1", "c/1", "b/2"]
--- a/tests/components/replication/test_stalled.py
+++ b/tests/components/replication/test_stalled.py
@@ -9,12 +9,12 @@
 
 def leader() -> Replica:
     replica = Replica(initial_persistent_state("a/1"), Tuning(), random.Random(1), 0.0)
-    replica.form([Member("a/1", "a", "127.0.0.1:1", True)])
+    replica.bootstrap([Member("a/1", "a", "127.0.0.1:1", True)])
     now = 0.0
     while replica.state.role is not Role.LEADER:
         now += 0.1
         replica.tick(now)
-        effects = replica.take(now)
+        effects = replica.take_effects(now)
         if effects.persist is not None:
             replica.persisted(effects.persist.number, now)
     return replica
