--- a/bitterntiller/components/dispatch/event_logging.py
+++ b/bitterntiller/components/dispatch/event_logging.py
@@ -45,21 +45,21 @@
 
 def log_quota(decision: QuotaDecision) -> None:
     """Log what was decided on a request at its workspace's quota, and by what."""
-    ask, refused, state = decision.ask, decision.refused, decision.state
+    request, refusal, state = decision.request, decision.refusal, decision.state
     events.emit(
         "quota",
-        request=ask.request_id,
-        entry_host=ask.host,
-        workspace=ask.workspace,
-        amount=ask.amount,
-        reserved=refused is None,
-        left=round(state.left),
+        request=request.request_id,
+        entry_host=request.host,
+        workspace=request.workspace,
+        amount=request.amount,
+        reserved=refusal is None,
+        left=round(state.remaining),
         level=round(state.level),
-        of=round(state.most),
+        of=round(state.limit),
         ahead=decision.ahead,
         waited=round(decision.waited, 4),
-        retry_after=None if refused is None else round(refused.retry_after, 3),
-        retry_reserved=refused is not None and refused.retry_reserved,
+        retry_after=None if refusal is None else round(refusal.retry_after, 3),
+        retry_reserved=refusal is not None and refusal.retry_reserved,
     )
 
 
--- a/bitterntiller/components/dispatch/quota_counter.py
+++ b/bitterntiller/components/dispatch/quota_counter.py
@@ -3,13 +3,17 @@
 from typing import NamedTuple
 
 from bitterntiller.components.config.models import Config
-from bitterntiller.components.dispatch.quota_queue import Ask, QuotaQueue, Waiter
+from bitterntiller.components.dispatch.quota_queue import (
+    QueuedRequest,
+    QuotaQueue,
+    QuotaRequest,
+)
 from bitterntiller.components.dispatch.quotas import QuotaLedger, QuotaState
-from bitterntiller.components.dispatch.retry_reservations import Refused
+from bitterntiller.components.dispatch.retry_reservations import QuotaRefusal
 from bitterntiller.components.settings.models import REPEAT_PART, QuotaWindow
 
-LENT_PART = 0.5
-PLENTY_PART = 0.5
+LENT_FRACTION = 0.5
+LENDING_FLOOR_FRACTION = 0.5
 """Part of what is left above half of a quota that hosts may use without asking, all of
 them together. Where less than half is left every request is asked for, large and small:
 what is lent to one of many hosts fits none but the smallest requests."""
@@ -19,11 +23,11 @@
 to one of the two hosts."""
 
 
-class CountBasis(NamedTuple):
+class QuotaContext(NamedTuple):
     """What the count rests on: the configuration, and the part of hosts heard here."""
 
     config: Config
-    part: float
+    host_fraction: float
 
 
 class QuotaDecision(NamedTuple):
@@ -33,11 +37,11 @@
     before it in the line.
     """
 
-    ask: Ask
+    request: QuotaRequest
     state: QuotaState
     ahead: int = 0
     waited: float = 0.0
-    refused: Refused | None = None
+    refusal: QuotaRefusal | None = None
 
 
 class QuotaCounter:
@@ -45,120 +49,143 @@
 
     def __init__(self, window: QuotaWindow) -> None:
         self.ledger = QuotaLedger(window)
-        self._line_by_workspace: dict[str, QuotaQueue] = {}
+        self._queue_by_workspace: dict[str, QuotaQueue] = {}
 
-    def ask(self, ask: Ask, basis: CountBasis, now: float) -> QuotaDecision | None:
+    def decide(
+        self, request: QuotaRequest, context: QuotaContext, now: float
+    ) -> QuotaDecision | None:
         """Decide on a request; None for one that waits in the line."""
-        state = self._state(ask.workspace, basis, now)
+        state = self._state(request.workspace, context, now)
         if state is None:
-            return QuotaDecision(ask, UNLIMITED)
-        if self.ledger.is_reserved(ask.host, ask.reservation):
-            return QuotaDecision(ask, state)
-        line = self._line_by_workspace.setdefault(ask.workspace, QuotaQueue())
-        line.leave(ask.host, ask.reservation)
-        ahead = line.ahead
-        found = line.arrive(ask, state, now)
-        if isinstance(found, Waiter):
+            return QuotaDecision(request, UNLIMITED)
+        if self.ledger.is_reserved(request.host, request.reservation):
+            return QuotaDecision(request, state)
+        queue = self._queue_by_workspace.setdefault(request.workspace, QuotaQueue())
+        queue.cancel(request.host, request.reservation)
+        ahead = queue.queued_amount
+        found = queue.submit(request, state, now)
+        if isinstance(found, QueuedRequest):
             return None
-        decision = QuotaDecision(ask, state)._replace(ahead=ahead, refused=found)
-        return self._carry_out(decision, now)
+        decision = QuotaDecision(request, state)._replace(ahead=ahead, refusal=found)
+        return self._apply(decision, now)
 
-    def ask_repeat(self, ask: Ask, basis: CountBasis, now: float) -> QuotaDecision:
+    def decide_repeat(
+        self, request: QuotaRequest, context: QuotaContext, now: float
+    ) -> QuotaDecision:
         """Decide on a request that has run and is to run once more; it never waits."""
-        state = self._state(ask.workspace, basis, now)
+        state = self._state(request.workspace, context, now)
         if state is None:
-            return QuotaDecision(ask, UNLIMITED)
-        fits = state.left - ask.amount >= -REPEAT_PART * state.most
-        refused = None if fits else Refused(0.0, False)
-        decision = QuotaDecision(ask, state)._replace(refused=refused)
-        return self._carry_out(decision, now)
+            return QuotaDecision(request, UNLIMITED)
+        fits = state.remaining - request.amount >= -REPEAT_PART * state.limit
+        refusal = None if fits else QuotaRefusal(0.0, False)
+        decision = QuotaDecision(request, state)._replace(refusal=refusal)
+        return self._apply(decision, now)
 
-    def settle(self, host: str, numbers: list[int], now: float) -> list[Waiter]:
+    def settle(self, host: str, numbers: list[int], now: float) -> list[QueuedRequest]:
         """End reservations of a host; return what it waits for no more in a line."""
         self.ledger.settle(host, numbers, now)
-        lines = [line for line in self._line_by_workspace.values() if line.ahead]
-        left = [line.leave(host, number) for line in lines for number in numbers]
-        return [waiter for waiter in left if waiter is not None]
-
-    def due(self, basis: CountBasis, now: float) -> list[QuotaDecision]:
+        queues = [
+            queue for queue in self._queue_by_workspace.values() if queue.queued_amount
+        ]
+        cancelled = [
+            queue.cancel(host, number) for queue in queues for number in numbers
+        ]
+        return [queued for queued in cancelled if queued is not None]
+
+    def decide_queued(self, context: QuotaContext, now: float) -> list[QuotaDecision]:
         """Return what is decided now on requests that wait."""
         decisions = []
-        for name, line in list(self._line_by_workspace.items()):
-            if line.ahead:
-                decisions += self._due(name, line, basis, now)
-            elif line.idle(now):
-                del self._line_by_workspace[name]
+        for name, queue in list(self._queue_by_workspace.items()):
+            if queue.queued_amount:
+                decisions += self._decide_queue(name, queue, context, now)
+            elif queue.is_idle(now):
+                del self._queue_by_workspace[name]
         return decisions
 
-    def _due(
-        self, name: str, line: QuotaQueue, basis: CountBasis, now: float
+    def _decide_queue(
+        self, name: str, queue: QuotaQueue, context: QuotaContext, now: float
     ) -> list[QuotaDecision]:
         decisions = []
-        while (state := self._state(name, basis, now)) is not None:
-            passing = line.next_to_pass(state, now)
-            if passing is not None:
-                decision = _waited(passing, state, now)
-                decisions.append(self._carry_out(decision, now))
+        while (state := self._state(name, context, now)) is not None:
+            admitted = queue.pop_admissible(state, now)
+            if admitted is not None:
+                decision = _decision_on_queued(admitted, state, now)
+                decisions.append(self._apply(decision, now))
                 continue
-            late = line.next_too_late(state, now)
-            if late is None:
+            expired = queue.pop_expired(state, now)
+            if expired is None:
                 return decisions
-            decisions.append(_waited(late[0], state, now)._replace(refused=late[1]))
+            decisions.append(
+                _decision_on_queued(expired[0], state, now)._replace(refusal=expired[1])
+            )
         # The quota was taken away while requests waited for it.
-        decisions += [_waited(item, UNLIMITED, now) for item in line.leave_all()]
+        decisions += [
+            _decision_on_queued(item, UNLIMITED, now) for item in queue.drain()
+        ]
         return decisions
 
-    def wake_in(self, basis: CountBasis, now: float) -> float | None:
+    def seconds_until_due(self, context: QuotaContext, now: float) -> float | None:
         """Return in how many seconds due() may decide on something, None for never."""
         waits = []
-        for name, line in self._line_by_workspace.items():
-            state = self._state(name, basis, now) if line.ahead else None
+        for name, queue in self._queue_by_workspace.items():
+            state = self._state(name, context, now) if queue.queued_amount else None
             if state is not None:
-                waits.append(line.wake_in(state, now))
+                waits.append(queue.seconds_until_due(state, now))
         return min(waits, default=None)
 
-    def waiting(self) -> dict[str, int]:
+    def queued_amounts(self) -> dict[str, int]:
         """Return what waits in each line that isn't empty, by workspace."""
-        lines = self._line_by_workspace.items()
-        return {name: line.ahead for name, line in lines if line.ahead}
+        queues = self._queue_by_workspace.items()
+        return {
+            name: queue.queued_amount for name, queue in queues if queue.queued_amount
+        }
 
     def lend(
         self,
         host: str,
         workspaces: list[str],
         hosts: int,
-        basis: CountBasis,
+        context: QuotaContext,
         now: float,
     ) -> dict[str, tuple[QuotaState, int]]:
         """Return what is left to workspaces, and what a host may use without asking."""
-        self.ledger.lend(host, {})
-        told = {}
+        self.ledger.set_lent(host, {})
+        levels_by_workspace = {}
         for name in workspaces:
-            state = self._state(name, basis, now)
+            state = self._state(name, context, now)
             if state is not None:
-                told[name] = (state, int(_lendable(state) / max(1, hosts)))
-        lent_by_workspace = {name: lent for name, (_, lent) in told.items() if lent}
-        self.ledger.lend(host, lent_by_workspace)
-        return told
-
-    def forget(self, host: str, now: float) -> list[Waiter]:
+                levels_by_workspace[name] = (
+                    state,
+                    int(_lendable(state) / max(1, hosts)),
+                )
+        lent_by_workspace = {
+            name: lent for name, (_, lent) in levels_by_workspace.items() if lent
+        }
+        self.ledger.set_lent(host, lent_by_workspace)
+        return levels_by_workspace
+
+    def forget_host(self, host: str, now: float) -> list[QueuedRequest]:
         """Forget a host that reports no more; return its requests that waited."""
-        self.ledger.forget(host, now)
-        leaving = []
-        for line in self._line_by_workspace.values():
-            leaving += line.leave_host(host)
-        return leaving
+        self.ledger.forget_host(host, now)
+        cancelled = []
+        for queue in self._queue_by_workspace.values():
+            cancelled += queue.cancel_host(host)
+        return cancelled
 
     def _state(
-        self, workspace: str, basis: CountBasis, now: float
+        self, workspace: str, context: QuotaContext, now: float
     ) -> QuotaState | None:
-        return self.ledger.state(workspace, basis.config, basis.part, now)
+        return self.ledger.state(workspace, context.config, context.host_fraction, now)
 
-    def _carry_out(self, decision: QuotaDecision, now: float) -> QuotaDecision:
-        if decision.refused is None:
-            ask = decision.ask
+    def _apply(self, decision: QuotaDecision, now: float) -> QuotaDecision:
+        if decision.refusal is None:
+            request = decision.request
             self.ledger.reserve(
-                ask.host, ask.reservation, ask.workspace, ask.amount, now
+                request.host,
+                request.reservation,
+                request.workspace,
+                request.amount,
+                now,
             )
         return decision
 
@@ -166,11 +193,13 @@
 def _lendable(state: QuotaState) -> float:
     """Return what all hosts together may use of a quota without asking."""
     spare = min(
-        state.left - PLENTY_PART * state.most,
-        state.level - PLENTY_PART * state.depth,
+        state.remaining - LENDING_FLOOR_FRACTION * state.limit,
+        state.level - LENDING_FLOOR_FRACTION * state.depth,
     )
-    return max(0.0, LENT_PART * spare)
+    return max(0.0, LENT_FRACTION * spare)
 
 
-def _waited(waiter: Waiter, state: QuotaState, now: float) -> QuotaDecision:
-    return QuotaDecision(waiter.ask, state, waiter.ahead, now - waiter.since)
+def _decision_on_queued(
+    queued: QueuedRequest, state: QuotaState, now: float
+) -> QuotaDecision:
+    return QuotaDecision(queued.request, state, queued.ahead, now - queued.queued_at)
--- a/bitterntiller/components/dispatch/quota_queue.py
+++ b/bitterntiller/components/dispatch/quota_queue.py
@@ -20,17 +20,17 @@
 
 from bitterntiller.components.dispatch.quotas import QuotaState
 from bitterntiller.components.dispatch.retry_reservations import (
-    MOST_RETURN_SECONDS,
-    Refused,
+    MAX_RETRY_AFTER_SECONDS,
+    QuotaRefusal,
     RetryReservation,
     RetryReservations,
 )
 from bitterntiller.core.decaying import DecayingSum, WindowedMaximum
 
-LARGEST_SECONDS = 30.0
+LARGEST_REQUEST_SECONDS = 30.0
 """How long a request counts as the largest of its workspace."""
 
-LARGEST_PART = 0.1
+LARGEST_REQUEST_FRACTION = 0.1
 """Largest part of a quota that the head of the queue waits for on behalf of the largest
 request. As much stays unused while a workspace asks for more, and a single request that
 is larger still would block all others of a small quota."""
@@ -39,18 +39,18 @@
 """How long the share that a kind of request asks for is counted: longer than the gaps
 between a workspace's requests, shorter than most bursts."""
 
-MOST_KINDS = 64
+MAX_KINDS = 64
 """Kinds of one workspace whose shares are counted; more are counted as one."""
 
-BUCKET_PART = 0.5
+BUCKET_FRACTION = 0.5
 """Largest part of a bucket that the head of the queue waits for; what is lent to hosts
 leaves as much. A larger request takes the bucket below 0."""
 
-MOST_WAITING = 1000
+MAX_QUEUED = 1000
 """Requests in the queue of one workspace; further ones are refused."""
 
 
-class Ask(NamedTuple):
+class QuotaRequest(NamedTuple):
     """A request that asks for an amount of its workspace's quota.
 
     patience is how long it may wait, latest_retry the latest return that its caller
@@ -70,195 +70,210 @@
     kind: str = ""
 
 
-class Waiter(NamedTuple):
+class QueuedRequest(NamedTuple):
     """A request in the queue: since when, until when, and the amount ahead of it."""
 
-    ask: Ask
-    since: float
-    until: float
+    request: QuotaRequest
+    queued_at: float
+    expires_at: float
     ahead: int
 
 
-def max_min_share(asked_for: Iterable[float], whole: float) -> float:
+def max_min_share(requested_amounts: Iterable[float], total: float) -> float:
     """Return the most that each may have of a whole so that all get alike.
 
     Who asks for less than an even part leaves the rest of it to the others.
     """
-    left = whole
-    asking = sorted(asked_for)
-    for number, amount in enumerate(asking):
-        share = left / (len(asking) - number)
+    remaining = total
+    ascending = sorted(requested_amounts)
+    for number, amount in enumerate(ascending):
+        share = remaining / (len(ascending) - number)
         if amount > share:
             return share
-        left -= amount
-    return whole
+        remaining -= amount
+    return total
 
 
 class QuotaQueue:
     """The queue of one workspace, and its reservations for retries."""
 
     def __init__(self) -> None:
-        self._waiting: deque[Waiter] = deque()
-        self._ahead = 0
+        self._queue: deque[QueuedRequest] = deque()
+        self._queued_amount = 0
         self._reservations = RetryReservations()
-        self._largest = WindowedMaximum(LARGEST_SECONDS)
-        self._asked_by_kind: dict[str, DecayingSum] = {}
+        self._largest = WindowedMaximum(LARGEST_REQUEST_SECONDS)
+        self._requested_by_kind: dict[str, DecayingSum] = {}
 
     @property
-    def ahead(self) -> int:
+    def queued_amount(self) -> int:
         """Return the sum of the amounts in the queue."""
-        return self._ahead
+        return self._queued_amount
 
-    def idle(self, now: float) -> bool:
+    def is_idle(self, now: float) -> bool:
         """Tell whether nothing is queued, reserved or remembered."""
-        awaited = self._waiting or self._reservations.awaited(now)
-        return not awaited and not self._largest.most(now)
+        has_pending = self._queue or self._reservations.has_pending(now)
+        return not has_pending and not self._largest.most(now)
 
-    def arrive(
-        self, ask: Ask, state: QuotaState, now: float
-    ) -> Waiter | Refused | None:
+    def submit(
+        self, request: QuotaRequest, state: QuotaState, now: float
+    ) -> QueuedRequest | QuotaRefusal | None:
         """Return None when admitted at once, the place in the queue, or a refusal."""
-        if ask.amount > state.whole:
-            return Refused(MOST_RETURN_SECONDS, False)
-        below_share = self._is_below_fair_share(ask, state, now)
-        if ask.amount <= state.left and self._reservations.take(
-            ask.retry_fingerprint, now
+        if request.amount > state.total_limit:
+            return QuotaRefusal(MAX_RETRY_AFTER_SECONDS, False)
+        below_share = self._record_and_check_share(request, state, now)
+        if request.amount <= state.remaining and self._reservations.redeem(
+            request.retry_fingerprint, now
         ):
             return None
-        if below_share and self._may_overdraw(ask.amount, state, now):
+        if below_share and self._may_overdraw(request.amount, state, now):
             return None
-        self._largest.add(ask.amount, now)
-        if not self._waiting and self._enough(ask.amount, state, now):
+        self._largest.add(request.amount, now)
+        if not self._queue and self._is_admissible(request.amount, state, now):
             return None
         wait = self._expected_wait(state, now)
-        if wait >= ask.patience or len(self._waiting) >= MOST_WAITING:
-            return self._refuse(ask, state, wait, now)
-        waiter = Waiter(ask, now, now + ask.patience, self._ahead)
-        self._waiting.append(waiter)
-        self._ahead += ask.amount
-        return waiter
-
-    def next_to_pass(self, state: QuotaState, now: float) -> Waiter | None:
+        if wait >= request.patience or len(self._queue) >= MAX_QUEUED:
+            return self._refuse(request, state, wait, now)
+        queued = QueuedRequest(
+            request, now, now + request.patience, self._queued_amount
+        )
+        self._queue.append(queued)
+        self._queued_amount += request.amount
+        return queued
+
+    def pop_admissible(self, state: QuotaState, now: float) -> QueuedRequest | None:
         """Take the first of the line if there is enough for it."""
-        if not self._waiting:
+        if not self._queue:
             return None
-        if not self._enough(self._waiting[0].ask.amount, state, now):
+        if not self._is_admissible(self._queue[0].request.amount, state, now):
             return None
-        return self._take_first()
+        return self._pop_first()
 
-    def next_too_late(
+    def pop_expired(
         self, state: QuotaState, now: float
-    ) -> tuple[Waiter, Refused] | None:
+    ) -> tuple[QueuedRequest, QuotaRefusal] | None:
         """Take the first of those that have waited for as long as they may."""
-        late = next((item for item in self._waiting if item.until <= now), None)
-        if late is None:
+        expired = next((item for item in self._queue if item.expires_at <= now), None)
+        if expired is None:
             return None
-        self._remove(late)
+        self._remove(expired)
         wait = self._expected_wait(state, now)
-        return late, self._refuse(late.ask, state, wait, now)
+        return expired, self._refuse(expired.request, state, wait, now)
 
-    def leave(self, host: str, reservation: int) -> Waiter | None:
+    def cancel(self, host: str, reservation: int) -> QueuedRequest | None:
         """Take a request out of the line whose host waits for it no more."""
-        for waiter in self._waiting:
-            if (waiter.ask.host, waiter.ask.reservation) == (host, reservation):
-                self._remove(waiter)
-                return waiter
+        for queued in self._queue:
+            if (queued.request.host, queued.request.reservation) == (host, reservation):
+                self._remove(queued)
+                return queued
         return None
 
-    def leave_all(self) -> list[Waiter]:
+    def drain(self) -> list[QueuedRequest]:
         """Take all requests out of the line."""
-        leaving = list(self._waiting)
-        self._waiting.clear()
-        self._ahead = 0
-        return leaving
+        cancelled = list(self._queue)
+        self._queue.clear()
+        self._queued_amount = 0
+        return cancelled
 
-    def leave_host(self, host: str) -> list[Waiter]:
+    def cancel_host(self, host: str) -> list[QueuedRequest]:
         """Take all requests of a host out of the line."""
-        leaving = [item for item in self._waiting if item.ask.host == host]
-        for waiter in leaving:
-            self._remove(waiter)
-        return leaving
+        cancelled = [item for item in self._queue if item.request.host == host]
+        for queued in cancelled:
+            self._remove(queued)
+        return cancelled
 
-    def wake_in(self, state: QuotaState, now: float) -> float | None:
+    def seconds_until_due(self, state: QuotaState, now: float) -> float | None:
         """Return in how many seconds the line may move, None for an empty one."""
-        if not self._waiting:
+        if not self._queue:
             return None
-        patience = min(waiter.until for waiter in self._waiting) - now
-        first = self._waiting[0].ask.amount
+        patience = min(queued.expires_at for queued in self._queue) - now
+        first = self._queue[0].request.amount
         lacking = max(
-            self._bucket_needed(state, now) + self._kept(state, now) - state.level,
+            self._bucket_needed(state, now)
+            + self._reserved_for_retries(state, now)
+            - state.level,
             self._window_needed(first, state, now)
-            + self._kept(state, now)
-            - state.left,
+            + self._reserved_for_retries(state, now)
+            - state.remaining,
         )
         return max(0.0, min(patience, lacking / max(state.rate, 1e-9)))
 
-    def _take_first(self) -> Waiter:
-        waiter = self._waiting.popleft()
-        self._ahead -= waiter.ask.amount
-        return waiter
+    def _pop_first(self) -> QueuedRequest:
+        queued = self._queue.popleft()
+        self._queued_amount -= queued.request.amount
+        return queued
 
-    def _remove(self, waiter: Waiter) -> None:
-        self._waiting.remove(waiter)
-        self._ahead -= waiter.ask.amount
+    def _remove(self, queued: QueuedRequest) -> None:
+        self._queue.remove(queued)
+        self._queued_amount -= queued.request.amount
 
-    def _is_below_fair_share(self, ask: Ask, state: QuotaState, now: float) -> bool:
+    def _record_and_check_share(
+        self, request: QuotaRequest, state: QuotaState, now: float
+    ) -> bool:
         """Note an ask; tell whether its kind asks for little beside others.
 
         That is for no more than its even share, while others ask for more than theirs.
         """
-        kind = ask.kind
-        if kind not in self._asked_by_kind and len(self._asked_by_kind) >= MOST_KINDS:
+        kind = request.kind
+        if (
+            kind not in self._requested_by_kind
+            and len(self._requested_by_kind) >= MAX_KINDS
+        ):
             kind = ""
-        asked = self._asked_by_kind.setdefault(kind, DecayingSum(SHARE_SECONDS))
-        own = asked.add(ask.amount, now)
-        if any(waiter.ask.kind == ask.kind for waiter in self._waiting):
+        requested = self._requested_by_kind.setdefault(kind, DecayingSum(SHARE_SECONDS))
+        own = requested.add(request.amount, now)
+        if any(queued.request.kind == request.kind for queued in self._queue):
             return False
-        whole = state.rate * SHARE_SECONDS
-        asked_for = [asked.sum(now) for asked in self._asked_by_kind.values()]
-        return own <= max_min_share(asked_for, whole) < whole
+        total = state.rate * SHARE_SECONDS
+        requested_amounts = [
+            requested.sum(now) for requested in self._requested_by_kind.values()
+        ]
+        return own <= max_min_share(requested_amounts, total) < total
 
     def _may_overdraw(self, amount: int, state: QuotaState, now: float) -> bool:
         """Tell whether a kind that asks for little may go into debt at the bucket.
 
         The others wait for it to be paid back; the window has room all the same.
         """
-        if amount > state.left - self._kept(state, now):
+        if amount > state.remaining - self._reserved_for_retries(state, now):
             return False
-        return state.level >= -LARGEST_PART * state.most
+        return state.level >= -LARGEST_REQUEST_FRACTION * state.limit
 
-    def _enough(self, amount: int, state: QuotaState, now: float) -> bool:
-        kept = self._kept(state, now)
-        if state.left - kept < self._window_needed(amount, state, now):
+    def _is_admissible(self, amount: int, state: QuotaState, now: float) -> bool:
+        reserved_now = self._reserved_for_retries(state, now)
+        if state.remaining - reserved_now < self._window_needed(amount, state, now):
             return False
-        return state.level - kept >= self._bucket_needed(state, now)
+        return state.level - reserved_now >= self._bucket_needed(state, now)
 
-    def _reserve(self, state: QuotaState, now: float) -> float:
-        return min(self._largest.most(now), LARGEST_PART * state.most)
+    def _reserve_for_largest(self, state: QuotaState, now: float) -> float:
+        return min(self._largest.most(now), LARGEST_REQUEST_FRACTION * state.limit)
 
     def _bucket_needed(self, state: QuotaState, now: float) -> float:
-        return min(self._reserve(state, now), BUCKET_PART * state.depth)
+        return min(self._reserve_for_largest(state, now), BUCKET_FRACTION * state.depth)
 
     def _window_needed(self, amount: int, state: QuotaState, now: float) -> float:
-        return max(self._reserve(state, now), amount)
+        return max(self._reserve_for_largest(state, now), amount)
 
     def _expected_wait(self, state: QuotaState, now: float) -> float:
         """Return how long a newcomer would wait, whatever its size."""
-        needed = self._ahead + self._kept(state, now)
+        needed = self._queued_amount + self._reserved_for_retries(state, now)
         missing = max(
             self._bucket_needed(state, now) + needed - state.level,
-            self._reserve(state, now) + needed - state.left,
+            self._reserve_for_largest(state, now) + needed - state.remaining,
         )
         if missing <= 0:
             return 0.0
-        return missing / state.rate if state.rate > 0 else MOST_RETURN_SECONDS
+        return missing / state.rate if state.rate > 0 else MAX_RETRY_AFTER_SECONDS
 
-    def _refuse(self, ask: Ask, state: QuotaState, wait: float, now: float) -> Refused:
+    def _refuse(
+        self, request: QuotaRequest, state: QuotaState, wait: float, now: float
+    ) -> QuotaRefusal:
         """Return the time at which a request may return, and keep room if it can."""
-        reservation = RetryReservation(ask.retry_fingerprint, ask.amount, now + wait)
+        reservation = RetryReservation(
+            request.retry_fingerprint, request.amount, now + wait
+        )
         return self._reservations.reserve(
-            reservation, now + ask.latest_retry, state.rate, now
+            reservation, now + request.latest_retry, state.rate, now
         )
 
-    def _kept(self, state: QuotaState, now: float) -> float:
-        return self._reservations.kept(state.rate, self._largest.most(now), now)
+    def _reserved_for_retries(self, state: QuotaState, now: float) -> float:
+        return self._reservations.reserved_now(state.rate, self._largest.most(now), now)
--- a/bitterntiller/components/dispatch/quotas.py
+++ b/bitterntiller/components/dispatch/quotas.py
@@ -6,11 +6,11 @@
 from bitterntiller.components.config.models import Config, Quota
 from bitterntiller.components.settings.models import Bucket, QuotaWindow
 
-SLICES = 40
+WINDOW_SLICES = 40
 """Parts of a window in which use is summed up; what is older than a window leaves by
 these steps."""
 
-FORGET_RESERVATION_SECONDS = 60.0
+RESERVATION_EXPIRY_SECONDS = 60.0
 """How long a reservation is kept that nobody settles: longer than any request waits. It
 is left over when both the answer and the report that settles it are lost."""
 
@@ -23,10 +23,10 @@
     what it allows to all of them; rate and depth are the bucket's.
     """
 
-    left: float
+    remaining: float
     level: float
-    most: float
-    whole: float
+    limit: float
+    total_limit: float
     rate: float
     depth: float
 
@@ -39,7 +39,7 @@
     at: float
 
 
-class _Use:
+class _WindowUsage:
     """What a workspace has used within the last window, by slices of time."""
 
     def __init__(self, seconds: float) -> None:
@@ -48,7 +48,7 @@
 
     def add(self, amount: float, when: float, now: float) -> None:
         """Note an amount used at a time; below 0 takes one back that was noted then."""
-        number = int(when * SLICES / self._seconds)
+        number = int(when * WINDOW_SLICES / self._seconds)
         if number < self._oldest(now):
             return
         known = self._amount_by_slice.get(number, 0.0)
@@ -62,7 +62,7 @@
         return sum(self._amount_by_slice.values())
 
     def _oldest(self, now: float) -> int:
-        return int(now * SLICES / self._seconds) - SLICES
+        return int(now * WINDOW_SLICES / self._seconds) - WINDOW_SLICES
 
     def level(self, bucket: Bucket, now: float) -> float:
         """Return what a token bucket holds that was full a window ago.
@@ -70,7 +70,7 @@
         Below 0 is what was used beyond it.
         """
         self.sum(now)
-        width = self._seconds / SLICES
+        width = self._seconds / WINDOW_SLICES
         level, last = bucket.depth, now - self._seconds
         for number in sorted(self._amount_by_slice):
             when = max(last, number * width)
@@ -99,45 +99,53 @@
 
     def __init__(self, window: QuotaWindow) -> None:
         self._window = window
-        self._use_by_workspace: dict[str, _Use] = {}
-        self._pace_by_workspace: dict[str, _Use] = {}
+        self._usage_by_workspace: dict[str, _WindowUsage] = {}
+        self._bucket_usage_by_workspace: dict[str, _WindowUsage] = {}
         self._held_by_host: dict[str, dict[str, int]] = {}
         self._lent_by_host: dict[str, dict[str, int]] = {}
         self._reserved_by_host: dict[str, dict[int, _Reservation]] = {}
-        self._aside_by_workspace: Counter[str] = Counter()
+        self._set_aside_by_workspace: Counter[str] = Counter()
         self._reserved_by_workspace: Counter[str] = Counter()
 
-    def note(self, workspace: str, amount: float, age: float, now: float) -> None:
+    def record_usage(
+        self, workspace: str, amount: float, age: float, now: float
+    ) -> None:
         """Note an amount that was used some seconds ago."""
-        self._uses(self._use_by_workspace, workspace).add(amount, now - age, now)
-        self._uses(self._pace_by_workspace, workspace).add(amount, now - age, now)
+        self._find_or_add(self._usage_by_workspace, workspace).add(
+            amount, now - age, now
+        )
+        self._find_or_add(self._bucket_usage_by_workspace, workspace).add(
+            amount, now - age, now
+        )
 
-    def _uses(self, uses: dict[str, _Use], workspace: str) -> _Use:
+    def _find_or_add(
+        self, uses: dict[str, _WindowUsage], workspace: str
+    ) -> _WindowUsage:
         found = uses.get(workspace)
         if found is None:
-            found = uses[workspace] = _Use(self._window.seconds)
+            found = uses[workspace] = _WindowUsage(self._window.seconds)
         return found
 
-    def note_held(self, host: str, held_by_workspace: dict[str, int]) -> None:
+    def set_held(self, host: str, held_by_workspace: dict[str, int]) -> None:
         """Note all that a host holds of its own now, for requests that wait."""
-        self._change(self._held_by_host, host, held_by_workspace)
+        self._replace_amounts(self._held_by_host, host, held_by_workspace)
 
-    def lend(self, host: str, lent_by_workspace: dict[str, int]) -> None:
+    def set_lent(self, host: str, lent_by_workspace: dict[str, int]) -> None:
         """Note what a host may use without asking, in place of what it was lent."""
-        self._change(self._lent_by_host, host, lent_by_workspace)
+        self._replace_amounts(self._lent_by_host, host, lent_by_workspace)
 
     def lent(self, host: str) -> dict[str, int]:
         """Return what a host may use without asking, by workspace."""
         return self._lent_by_host.get(host, {})
 
-    def _change(
+    def _replace_amounts(
         self,
         amounts_by_host: dict[str, dict[str, int]],
         host: str,
         amount_by_workspace: dict[str, int],
     ) -> None:
-        self._aside_by_workspace.subtract(amounts_by_host.get(host, {}))
-        self._aside_by_workspace.update(amount_by_workspace)
+        self._set_aside_by_workspace.subtract(amounts_by_host.get(host, {}))
+        self._set_aside_by_workspace.update(amount_by_workspace)
         amounts_by_host[host] = amount_by_workspace
 
     def reserve(
@@ -147,7 +155,9 @@
         reserved = self._reserved_by_host.setdefault(host, {})
         reserved[number] = _Reservation(workspace, amount, now)
         self._reserved_by_workspace[workspace] += amount
-        self._uses(self._pace_by_workspace, workspace).add(amount, now, now)
+        self._find_or_add(self._bucket_usage_by_workspace, workspace).add(
+            amount, now, now
+        )
 
     def is_reserved(self, host: str, number: int) -> bool:
         """Tell whether a host's reservation is set aside here."""
@@ -159,34 +169,36 @@
         for number in numbers:
             found = reserved.pop(number, None)
             if found is not None:
-                self._end(found, now)
+                self._release(found, now)
 
-    def _end(self, reservation: _Reservation, now: float) -> None:
+    def _release(self, reservation: _Reservation, now: float) -> None:
         workspace, amount, made_at = reservation
         self._reserved_by_workspace[workspace] -= amount
-        self._uses(self._pace_by_workspace, workspace).add(-amount, made_at, now)
+        self._find_or_add(self._bucket_usage_by_workspace, workspace).add(
+            -amount, made_at, now
+        )
 
-    def forget(self, host: str, now: float) -> None:
+    def forget_host(self, host: str, now: float) -> None:
         """Count what a host that reports no more has set aside as used now."""
         aside = Counter(self._held_by_host.pop(host, {}))
         aside.update(self._lent_by_host.pop(host, {}))
-        self._aside_by_workspace.subtract(aside)
+        self._set_aside_by_workspace.subtract(aside)
         for reservation in self._reserved_by_host.pop(host, {}).values():
-            self._end(reservation, now)
+            self._release(reservation, now)
             aside[reservation.workspace] += reservation.amount
         for workspace, amount in aside.items():
             if amount:
-                self.note(workspace, amount, 0.0, now)
+                self.record_usage(workspace, amount, 0.0, now)
 
-    def forget_old(self, now: float) -> None:
+    def expire_reservations(self, now: float) -> None:
         """Give back reservations that nobody has settled."""
-        oldest = now - FORGET_RESERVATION_SECONDS
+        oldest = now - RESERVATION_EXPIRY_SECONDS
         for host, reserved in self._reserved_by_host.items():
             old = [number for number, item in reserved.items() if item.at < oldest]
             self.settle(host, old, now)
 
     def state(
-        self, workspace: str, config: Config, part: float, now: float
+        self, workspace: str, config: Config, host_fraction: float, now: float
     ) -> QuotaState | None:
         """Return what is left to a workspace, None for one without a quota.
 
@@ -201,24 +213,24 @@
         found = config.workspaces_by_name.get(workspace)
         if found is None or found.quota is None:
             return None
-        whole = self._window.limit(found.quota.rate, found.quota.burst)
-        most = whole * part
-        bucket = self._bucket(found.quota, part)
-        use = self._use_by_workspace.get(workspace)
-        pace = self._pace_by_workspace.get(workspace)
-        aside = self._aside_by_workspace[workspace]
+        total_limit = self._window.limit(found.quota.rate, found.quota.burst)
+        limit = total_limit * host_fraction
+        bucket = self._bucket(found.quota, host_fraction)
+        use = self._usage_by_workspace.get(workspace)
+        pace = self._bucket_usage_by_workspace.get(workspace)
+        aside = self._set_aside_by_workspace[workspace]
         used = self._reserved_by_workspace[workspace] + (use.sum(now) if use else 0.0)
         level = pace.level(bucket, now) if pace else bucket.depth
         return QuotaState(
-            left=most - aside - used,
+            remaining=limit - aside - used,
             level=level - aside,
-            most=most,
-            whole=whole,
+            limit=limit,
+            total_limit=total_limit,
             rate=bucket.rate,
             depth=bucket.depth,
         )
 
-    def _bucket(self, quota: Quota, part: float) -> Bucket:
+    def _bucket(self, quota: Quota, host_fraction: float) -> Bucket:
         """Return the token bucket of the hosts that report here.
 
         Use leaves the window by whole slices, so that up to one more than the window is
@@ -226,5 +238,5 @@
         yet, and a request that returns at its time would be refused for it.
         """
         rate, depth = self._window.bucket(quota.rate, quota.burst)
-        slice_ = rate * self._window.seconds / SLICES
-        return Bucket(rate * part, max(0.0, depth - slice_) * part)
+        slice_ = rate * self._window.seconds / WINDOW_SLICES
+        return Bucket(rate * host_fraction, max(0.0, depth - slice_) * host_fraction)
--- a/bitterntiller/components/dispatch/reports.py
+++ b/bitterntiller/components/dispatch/reports.py
@@ -5,15 +5,15 @@
 
 import curio
 
-from bitterntiller.components.dispatch.quota_counter import CountBasis, QuotaCounter
+from bitterntiller.components.dispatch.quota_counter import QuotaContext, QuotaCounter
 from bitterntiller.components.dispatch.quota_service import QuotaService
 from bitterntiller.components.settings.const import ROLE_ENTRY
 from bitterntiller.core.interfaces import ConfigView, DirectoryView, Lease
 from bitterntiller.core.runtime import Runtime
 from bitterntiller.protocol import messages
 
-REPORT_SILENCE = 1.5
-SILENT_PERIODS = 3
+REPORT_TIMEOUT = 1.5
+MAX_MISSED_REPORTS = 3
 """Seconds without a report, and announced periods of reports, after which an entry host
 has turned to another owner.
 
@@ -35,7 +35,7 @@
     """
 
     incarnation: str
-    lost_at: float
+    expires_at: float
     counting: bool
 
 
@@ -58,106 +58,112 @@
         self._drop_host = drop_host
         self._forget_ended = forget_ended
         self._counter = QuotaCounter(runtime.settings.quota_window)
-        self.quotas = QuotaService(runtime, self._counter, self._basis)
+        self.quotas = QuotaService(runtime, self._counter, self._quota_context)
         self._reporter_by_host: dict[str, _Reporter] = {}
-        self._counting = 0
-        self._known: Mapping[str, Any] = {}
-        self._known_entry_hosts = 0
+        self._counted_hosts = 0
+        self._directory_hosts: Mapping[str, Any] = {}
+        self._entry_host_count = 0
 
     async def async_on_report(self, _host: str, report: Any) -> Any:
         """Answer a messages.EntryReport."""
         now = self._runtime.clock.now()
         within = (report.within_ms or 0) / 1000
-        silence = max(REPORT_SILENCE, SILENT_PERIODS * within)
+        timeout = max(REPORT_TIMEOUT, MAX_MISSED_REPORTS * within)
         counting = bool(report.counting)
-        reporter = _Reporter(report.incarnation, now + silence, counting)
-        await self._async_keep(report.entry_host, reporter, now)
+        reporter = _Reporter(report.incarnation, now + timeout, counting)
+        await self._async_update_reporter(report.entry_host, reporter, now)
         await self._forget_ended(report.entry_host, report.ended or [])
-        levels = await self._async_count(report, now) if counting else []
+        levels = await self._async_update_quotas(report, now) if counting else []
         return messages.EntryReportReply(
             ready=self._ready(),
             incarnation=self._runtime.incarnation,
             number=report.number,
             levels=levels,
-            entry_hosts=self._counting,
+            entry_hosts=self._counted_hosts,
         )
 
-    async def _async_keep(self, host: str, reporter: _Reporter, now: float) -> None:
-        before = self._reporter_by_host.get(host)
+    async def _async_update_reporter(
+        self, host: str, reporter: _Reporter, now: float
+    ) -> None:
+        previous = self._reporter_by_host.get(host)
         self._reporter_by_host[host] = reporter
-        self._counting += reporter.counting
-        if before is None or not before.counting:
+        self._counted_hosts += reporter.counting
+        if previous is None or not previous.counting:
             return
-        self._counting -= 1
-        if not reporter.counting or reporter.incarnation != before.incarnation:
+        self._counted_hosts -= 1
+        if not reporter.counting or reporter.incarnation != previous.incarnation:
             # It has turned to another counting host, or was started anew, and will
             # settle nothing of before here.
-            await self.quotas.async_reject(self._counter.forget(host, now))
+            await self.quotas.async_reject(self._counter.forget_host(host, now))
 
-    async def _async_count(self, report: Any, now: float) -> list[Any]:
+    async def _async_update_quotas(self, report: Any, now: float) -> list[Any]:
         """Take what a host has used, and tell it what is left and what it is lent."""
         counter = self._counter
         for item in report.used:
-            counter.ledger.note(item.workspace, item.amount, item.age_ms / 1000, now)
+            counter.ledger.record_usage(
+                item.workspace, item.amount, item.age_ms / 1000, now
+            )
         held = {item.workspace: item.amount for item in report.held}
-        counter.ledger.note_held(report.entry_host, held)
+        counter.ledger.set_held(report.entry_host, held)
         if report.settled:
-            left = counter.settle(report.entry_host, report.settled, now)
-            await self.quotas.async_reject(left)
-            if counter.waiting():
-                await self.quotas.async_moved()
-        basis = self._basis()
-        if basis is None:
+            cancelled = counter.settle(report.entry_host, report.settled, now)
+            await self.quotas.async_reject(cancelled)
+            if counter.queued_amounts():
+                await self.quotas.async_check_queues()
+        context = self._quota_context()
+        if context is None:
             return []
-        told = counter.lend(report.entry_host, list(held), self._counting, basis, now)
+        levels_by_workspace = counter.lend(
+            report.entry_host, list(held), self._counted_hosts, context, now
+        )
         return [
             messages.QuotaLevel(
                 workspace=name,
-                amount=int(state.left),
+                amount=int(state.remaining),
                 paced=int(state.level),
                 lent=lent,
             )
-            for name, (state, lent) in told.items()
+            for name, (state, lent) in levels_by_workspace.items()
         ]
 
     def _ready(self) -> bool:
         return self._lease.valid() and self._config.version > 0
 
-    def _basis(self) -> CountBasis | None:
+    def _quota_context(self) -> QuotaContext | None:
         """Return what the count of quotas rests on, None while this host may not."""
         if not self._ready():
             return None
-        return CountBasis(self._config.config, self._part())
+        return QuotaContext(self._config.config, self._host_fraction())
 
-    def _part(self) -> float:
+    def _host_fraction(self) -> float:
         """Return the part of the known entry hosts whose quotas are counted here."""
         hosts = self._directory.hosts_by_name
-        if hosts is not self._known:
-            self._known = hosts
+        if hosts is not self._directory_hosts:
+            self._directory_hosts = hosts
             entry = [host for host in hosts.values() if ROLE_ENTRY in host.roles]
-            self._known_entry_hosts = len(entry)
-        return min(1.0, self._counting / max(1, self._known_entry_hosts))
+            self._entry_host_count = len(entry)
+        return min(1.0, self._counted_hosts / max(1, self._entry_host_count))
 
     async def async_run(self) -> None:
         """Forget the entry hosts that report no more, until cancelled."""
         while True:
             now = self._runtime.clock.now()
             for host, reporter in list(self._reporter_by_host.items()):
-                if reporter.lost_at < now:
+                if reporter.expires_at < now:
                     await self._async_forget(host, now)
-            self._counter.ledger.forget_old(now)
+            self._counter.ledger.expire_reservations(now)
             await curio.sleep(CHECK_PERIOD)
 
     async def _async_forget(self, host: str, now: float) -> None:
         if self._reporter_by_host.pop(host).counting:
-            self._counting -= 1
-            await self.quotas.async_reject(self._counter.forget(host, now))
+            self._counted_hosts -= 1
+            await self.quotas.async_reject(self._counter.forget_host(host, now))
         await self._drop_host(host)
 
     def describe(self) -> dict[str, Any]:
         """Return the state of the desk for the dump of the process."""
         return {
             "reporting": len(self._reporter_by_host),
-            "counting": self._counting,
-            "quota_lines": self._counter.waiting(),
+            "counting": self._counted_hosts,
+            "quota_lines": self._counter.queued_amounts(),
         }
--- a/bitterntiller/components/dispatch/retry_reservations.py
+++ b/bitterntiller/components/dispatch/retry_reservations.py
@@ -3,22 +3,22 @@
 from collections import deque
 from typing import NamedTuple
 
-RETURNS_PART = 0.25
+RETRY_RATE_FRACTION = 0.25
 """Part of the rate that is reserved for retries. With all of it, a workspace far over
 its quota would have every request served late, at its retry."""
 
-RETURN_GRACE_SECONDS = 0.5
+RETRY_GRACE_SECONDS = 0.5
 """How long after its time a reservation is kept: a new connection and the caller's own
 timer take some of it."""
 
-EARLY_SECONDS = 0.05
+EARLY_RETRY_SECONDS = 0.05
 """How much before its time a retry is accepted; timers of callers are not exact."""
 
-LEAST_RETURN_SECONDS = 0.2
-MOST_RETURN_SECONDS = 30.0
+MIN_RETRY_AFTER_SECONDS = 0.2
+MAX_RETRY_AFTER_SECONDS = 30.0
 """Seconds that a caller over its workspace's quota is told to wait."""
 
-MOST_RESERVATIONS = 1000
+MAX_RESERVATIONS = 1000
 """Reservations of one workspace at most; it bounds their memory."""
 
 
@@ -33,7 +33,7 @@
     due: float
 
 
-class Refused(NamedTuple):
+class QuotaRefusal(NamedTuple):
     """When to retry, in seconds, and whether the amount is reserved for then."""
 
     retry_after: float
@@ -47,65 +47,67 @@
         self._reservations: deque[RetryReservation] = deque()
         self._reserved_until = 0.0
 
-    def awaited(self, now: float) -> bool:
+    def has_pending(self, now: float) -> bool:
         """Tell whether any retry is awaited."""
-        self._drop_missed(now)
+        self._drop_expired(now)
         return bool(self._reservations)
 
     def reserve(
         self, reservation: RetryReservation, latest: float, rate: float, now: float
-    ) -> Refused:
+    ) -> QuotaRefusal:
         """Reserve an amount for a retry at reservation.due or later.
 
         latest is the latest time at which the caller would retry; nothing is reserved
         beyond it. rate is that of the quota, in its unit a second.
         """
-        alike = (
+        matching = (
             item
             for item in self._reservations
             if item.retry_fingerprint == reservation.retry_fingerprint
         )
-        earlier = next(alike, None)
+        earlier = next(matching, None)
         if earlier is not None and earlier.due > now:
-            return Refused(earlier.due - now, True)
-        due = max(reservation.due, now + LEAST_RETURN_SECONDS, self._reserved_until)
-        after = due - now
-        latest = min(latest, now + MOST_RETURN_SECONDS)
-        if due > latest or len(self._reservations) >= MOST_RESERVATIONS:
-            return Refused(min(after, MOST_RETURN_SECONDS), False)
-        self._reserved_until = due + reservation.amount / max(RETURNS_PART * rate, 1e-9)
+            return QuotaRefusal(earlier.due - now, True)
+        due = max(reservation.due, now + MIN_RETRY_AFTER_SECONDS, self._reserved_until)
+        retry_after = due - now
+        latest = min(latest, now + MAX_RETRY_AFTER_SECONDS)
+        if due > latest or len(self._reservations) >= MAX_RESERVATIONS:
+            return QuotaRefusal(min(retry_after, MAX_RETRY_AFTER_SECONDS), False)
+        self._reserved_until = due + reservation.amount / max(
+            RETRY_RATE_FRACTION * rate, 1e-9
+        )
         self._reservations.append(reservation._replace(due=due))
-        return Refused(after, True)
+        return QuotaRefusal(retry_after, True)
 
-    def take(self, retry_fingerprint: int, now: float) -> bool:
+    def redeem(self, retry_fingerprint: int, now: float) -> bool:
         """Use the room that is kept for a request, if it returns at its time."""
-        self._drop_missed(now)
+        self._drop_expired(now)
         for reservation in self._reservations:
-            if reservation.due > now + EARLY_SECONDS:
+            if reservation.due > now + EARLY_RETRY_SECONDS:
                 return False
             if reservation.retry_fingerprint == retry_fingerprint:
                 self._reservations.remove(reservation)
                 return True
         return False
 
-    def kept(self, rate: float, largest: float, now: float) -> float:
+    def reserved_now(self, rate: float, largest: float, now: float) -> float:
         """Return what must be left now for all returns to find room at their times.
 
         What comes back to the quota until then needs not be left now. Bookings are in
         the order of their times, and less is promised between two of them than comes
         back: once that is as much as the largest in advance, later ones need nothing.
         """
-        self._drop_missed(now)
-        kept = amount = 0.0
+        self._drop_expired(now)
+        reserved_now = amount = 0.0
         for reservation in self._reservations:
             amount += reservation.amount
-            comes_back = rate * max(0.0, reservation.due - now)
-            kept = max(kept, amount - comes_back)
-            if comes_back >= amount + largest:
+            refilled = rate * max(0.0, reservation.due - now)
+            reserved_now = max(reserved_now, amount - refilled)
+            if refilled >= amount + largest:
                 break
-        return kept
+        return reserved_now
 
-    def _drop_missed(self, now: float) -> None:
-        oldest = now - RETURN_GRACE_SECONDS
+    def _drop_expired(self, now: float) -> None:
+        oldest = now - RETRY_GRACE_SECONDS
         while self._reservations and self._reservations[0].due < oldest:
             self._reservations.popleft()
--- a/tests/components/entry/counting.py
+++ b/tests/components/entry/counting.py
@@ -5,7 +5,7 @@
 import curio
 
 from bitterntiller.components.config.models import Config
-from bitterntiller.components.dispatch.quota_counter import CountBasis, QuotaCounter
+from bitterntiller.components.dispatch.quota_counter import QuotaContext, QuotaCounter
 from bitterntiller.components.dispatch.quota_service import QuotaService
 from bitterntiller.components.links.errors import LinkTimeoutError
 from bitterntiller.components.settings.models import QuotaWindow
@@ -28,7 +28,7 @@
     def __init__(
         self, config: Config, window: QuotaWindow, incarnation: str, clock: Clock
     ) -> None:
-        self.basis: CountBasis | None = CountBasis(config, 1.0)
+        self.basis: QuotaContext | None = QuotaContext(config, 1.0)
         self.counter = QuotaCounter(window)
         runtime = _Runtime(clock, FakeMetrics(), incarnation)
         self.desk = QuotaService(runtime, self.counter, lambda: self.basis)
--- a/tests/components/entry/quota_hosts.py
+++ b/tests/components/entry/quota_hosts.py
@@ -8,13 +8,13 @@
 
 from bitterntiller.components.config.models import Config, Quota, Selector, Workspace
 from bitterntiller.components.dispatch.quota_counter import (
-    CountBasis,
+    QuotaContext,
     QuotaCounter,
     QuotaDecision,
 )
-from bitterntiller.components.dispatch.quota_queue import Ask
+from bitterntiller.components.dispatch.quota_queue import QuotaRequest
 from bitterntiller.components.dispatch.quotas import QuotaState
-from bitterntiller.components.dispatch.retry_reservations import Refused
+from bitterntiller.components.dispatch.retry_reservations import QuotaRefusal
 from bitterntiller.components.entry.quota import Hold, QuotaAccount
 from bitterntiller.components.settings.models import QuotaWindow
 from bitterntiller.core.clock import ManualClock
@@ -56,12 +56,12 @@
         """Return what a counting host believes to be left."""
         counter = self.counter_by_name[name]
         basis, now = self.basis(name), self.clock.now()
-        return counter.ledger.state("wards", basis.config, basis.part, now)
+        return counter.ledger.state("wards", basis.config, basis.host_fraction, now)
 
-    def basis(self, name: str) -> CountBasis:
+    def basis(self, name: str) -> QuotaContext:
         """Return the configuration, and the part of the hosts that turn to a host."""
         counted = Counter(self.counter_by_host.values())[name]
-        return CountBasis(self.config, counted / len(self.accounts))
+        return QuotaContext(self.config, counted / len(self.accounts))
 
     def replace_counter(self, name: str, hosts: list[int] | None = None) -> None:
         """Have some hosts, or all of them, turn to another counting host."""
@@ -77,14 +77,14 @@
         retry_fingerprint: int | None = None,
         latest_retry: float = COMEBACK,
         kind: str = "",
-    ) -> Hold | Refused | Ask:
+    ) -> Hold | QuotaRefusal | QuotaRequest:
         """Have a host ask for an amount; an Ask waits in the line."""
         account = self.accounts[host]
         hold = account.hold_lent(self.owner, amount)
         if hold is not None:
             return hold
         number = next(self._ids)
-        ask = Ask(
+        ask = QuotaRequest(
             host=str(host),
             reservation=account.number(),
             request_id=str(number),
@@ -99,21 +99,23 @@
         )
         name = self.counter_by_host[host]
         counter, now = self.counter_by_name[name], self.clock.now()
-        decision = counter.ask(ask, self.basis(name), now)
+        decision = counter.decide(ask, self.basis(name), now)
         return ask if decision is None else self.take(decision, name)
 
-    def take(self, decision: QuotaDecision, name: str = COUNTER) -> Hold | Refused:
+    def take(self, decision: QuotaDecision, name: str = COUNTER) -> Hold | QuotaRefusal:
         """Have the host that asked hear a decision."""
-        if decision.refused is not None:
-            return decision.refused
-        ask = decision.ask
-        account = self.accounts[int(ask.host)]
-        return account.hold_reserved(self.owner, ask.amount, name, ask.reservation)
+        if decision.refusal is not None:
+            return decision.refusal
+        request = decision.request
+        account = self.accounts[int(request.host)]
+        return account.hold_reserved(
+            self.owner, request.amount, name, request.reservation
+        )
 
     def due(self, name: str = COUNTER) -> list[QuotaDecision]:
         """Return what a counting host decides now on requests that wait."""
         counter = self.counter_by_name[name]
-        return counter.due(self.basis(name), self.clock.now())
+        return counter.decide_queued(self.basis(name), self.clock.now())
 
     def send(self, host: int, amount: int) -> bool:
         """Have a host send a request; tell whether the quota let it through."""
@@ -138,8 +140,8 @@
         now = self.clock.now()
         told = account.unacknowledged(name)
         for used in told.used:
-            counter.ledger.note(used.workspace, used.amount, used.age, now)
-        counter.ledger.note_held(str(host), told.held_by_workspace)
+            counter.ledger.record_usage(used.workspace, used.amount, used.age, now)
+        counter.ledger.set_held(str(host), told.held_by_workspace)
         counter.settle(str(host), told.settled, now)
         hosts = Counter(self.counter_by_host.values())[name]
         lent = counter.lend(
@@ -150,13 +152,13 @@
 
     def forget(self, host: int) -> None:
         """Have the counting host take a host for lost."""
-        self.counter.forget(str(host), self.clock.now())
+        self.counter.forget_host(str(host), self.clock.now())
 
 
 def _level(name: str, told: tuple[QuotaState, int]) -> Any:
     state, lent = told
     return messages.QuotaLevel(
-        workspace=name, amount=int(state.left), paced=int(state.level), lent=lent
+        workspace=name, amount=int(state.remaining), paced=int(state.level), lent=lent
     )
 
 
@@ -228,8 +230,10 @@
             self._sent.append(0)
             shared.report(self._reporting(step))
             for decision in shared.due():
-                request = self._waiting_by_reservation.pop(decision.ask.reservation)
-                self._decided(int(decision.ask.host), request, shared.take(decision))
+                request = self._waiting_by_reservation.pop(decision.request.reservation)
+                self._decided(
+                    int(decision.request.host), request, shared.take(decision)
+                )
             while self._returns and self._returns[0][0] <= shared.clock.now():
                 self._arrive(heapq.heappop(self._returns)[2])
             for size in self._next_sizes():
@@ -248,12 +252,12 @@
         found = self._shared.ask(
             host, request.size, PATIENCE, request.retry_fingerprint
         )
-        if isinstance(found, Ask):
+        if isinstance(found, QuotaRequest):
             self._waiting_by_reservation[found.reservation] = request
         else:
             self._decided(host, request, found)
 
-    def _decided(self, host: int, request: Request, found: Hold | Refused) -> None:
+    def _decided(self, host: int, request: Request, found: Hold | QuotaRefusal) -> None:
         if isinstance(found, Hold):
             self._shared.accounts[host].spend(self._shared.owner, request.size, found)
             self._sent[-1] += request.size
--- a/tests/components/entry/test_quota.py
+++ b/tests/components/entry/test_quota.py
@@ -3,10 +3,10 @@
 import pytest
 
 from bitterntiller.components.config.models import Config
-from bitterntiller.components.dispatch.quota_counter import LENT_PART, CountBasis
-from bitterntiller.components.dispatch.quota_queue import Ask
+from bitterntiller.components.dispatch.quota_counter import LENT_FRACTION, QuotaContext
+from bitterntiller.components.dispatch.quota_queue import QuotaRequest
 from bitterntiller.components.dispatch.quotas import (
-    FORGET_RESERVATION_SECONDS,
+    RESERVATION_EXPIRY_SECONDS,
     QuotaLedger,
 )
 from bitterntiller.components.entry.quota import Hold, QuotaAccount
@@ -44,7 +44,7 @@
         while (hold := account.hold_lent(WORKSPACE, 20)) is not None:
             account.spend(WORKSPACE, 20, hold)
             sent += 20
-    assert 0 < sent <= LENT_PART * LIMIT
+    assert 0 < sent <= LENT_FRACTION * LIMIT
 
 
 def test_new_ledger_is_told_what_was_used():
@@ -123,7 +123,7 @@
     shared.report([0])
     assert shared.counter.ledger.state(
         "wards", CONFIG, 1.0, shared.clock.now()
-    ).left == (LIMIT - 140 - int(sum(shared.counter.ledger.lent("0").values())))
+    ).remaining == (LIMIT - 140 - int(sum(shared.counter.ledger.lent("0").values())))
 
 
 def test_started_host_sends_nothing_before_it_has_asked():
@@ -160,7 +160,7 @@
         shared.accounts[0].release(hold)
     shared.report([0])
     lent = sum(shared.counter.ledger.lent("0").values())
-    assert shared.state().left == LIMIT - lent
+    assert shared.state().remaining == LIMIT - lent
     assert shared.state().level == shared.state().depth - lent
 
 
@@ -213,9 +213,9 @@
     """Each answer that is lost takes something from a workspace for good."""
     shared = QuotaHosts(WORKSPACE, WINDOW, HOSTS)
     assert isinstance(shared.ask(0, 500), Hold)
-    shared.clock.advance(FORGET_RESERVATION_SECONDS + 1)
-    shared.counter.ledger.forget_old(shared.clock.now())
-    assert shared.state().left == LIMIT
+    shared.clock.advance(RESERVATION_EXPIRY_SECONDS + 1)
+    shared.counter.ledger.expire_reservations(shared.clock.now())
+    assert shared.state().remaining == LIMIT
 
 
 def test_lost_answer_is_settled_by_the_next_report():
@@ -226,21 +226,22 @@
     shared = QuotaHosts(WORKSPACE, WINDOW, HOSTS)
     account = shared.accounts[0]
     number = account.number()
-    ask = Ask("0", number, "r", "wards", 500, 0.0, 0.0, 1)
+    ask = QuotaRequest("0", number, "r", "wards", 500, 0.0, 0.0, 1)
     assert (
-        shared.counter.ask(ask, CountBasis(CONFIG, 1.0), shared.clock.now()) is not None
+        shared.counter.decide(ask, QuotaContext(CONFIG, 1.0), shared.clock.now())
+        is not None
     )
     account.give_up(COUNTER, number)
     shared.report([0])
-    assert shared.state().left == LIMIT
+    assert shared.state().remaining == LIMIT
 
 
 def test_repeated_ask_reserves_once():
     shared = QuotaHosts(WORKSPACE, WINDOW, HOSTS)
-    ask = Ask("0", 7, "r", "wards", 500, 0.0, 0.0, 1)
+    ask = QuotaRequest("0", 7, "r", "wards", 500, 0.0, 0.0, 1)
     for _ in range(3):
-        shared.counter.ask(ask, CountBasis(CONFIG, 1.0), shared.clock.now())
-    assert shared.state().left == LIMIT - 500
+        shared.counter.decide(ask, QuotaContext(CONFIG, 1.0), shared.clock.now())
+    assert shared.state().remaining == LIMIT - 500
 
 
 def test_repeat_counts_like_a_first_sending():
@@ -252,7 +253,7 @@
     assert shared.send(0, 500)
     shared.accounts[0].spend(WORKSPACE, 500, None)
     shared.report([0])
-    assert shared.state().most - shared.state().left >= 1000
+    assert shared.state().limit - shared.state().remaining >= 1000
 
 
 def test_new_ledger_hears_when_it_was_used():
@@ -284,12 +285,14 @@
     now = shared.clock.now()
     for host in range(HOSTS):
         shared.send_all(host, 50, 200)
-    shared.counter.ledger.note("wards", max(0.0, shared.state().left), 0.0, now)
+    shared.counter.ledger.record_usage(
+        "wards", max(0.0, shared.state().remaining), 0.0, now
+    )
     repeats = 0
     for number in range(50):
-        ask = Ask("0", number + 1, "r", "wards", 50, 0.0, 0.0, number)
-        decision = shared.counter.ask_repeat(ask, CountBasis(CONFIG, 1.0), now)
-        repeats += decision.refused is None
+        ask = QuotaRequest("0", number + 1, "r", "wards", 50, 0.0, 0.0, number)
+        decision = shared.counter.decide_repeat(ask, QuotaContext(CONFIG, 1.0), now)
+        repeats += decision.refusal is None
     assert 0 < repeats * 50 <= REPEAT_PART * LIMIT
 
 
@@ -304,8 +307,8 @@
     for _ in range(200):
         clock.advance(0.1)
         state = ledger.state("wards", CONFIG, 1.0, clock.now())
-        used = min(600.0, max(0.0, min(state.left, state.level)))
-        ledger.note("wards", used, 0.0, clock.now())
+        used = min(600.0, max(0.0, min(state.remaining, state.level)))
+        ledger.record_usage("wards", used, 0.0, clock.now())
         sent.append(used)
     seconds = [sum(sent[at : at + 10]) for at in range(20, 190)]
     assert min(seconds) >= 850
--- a/tests/components/entry/test_quota_client.py
+++ b/tests/components/entry/test_quota_client.py
@@ -48,7 +48,7 @@
     def left(self, host: str = FIRST) -> float:
         """Return what a counting host believes to be left."""
         ledger = self.links.host_by_name[host].counter.ledger
-        return ledger.state("wards", CONFIG, 1.0, self.clock.now()).left
+        return ledger.state("wards", CONFIG, 1.0, self.clock.now()).remaining
 
     def settle(self, host: str = FIRST) -> None:
         """Have a counting host hear what was settled, as a report would tell it."""
@@ -102,7 +102,7 @@
 def test_request_over_the_quota_hears_at_once_when_to_come_back():
     async def main(deployment: Deployment) -> None:
         ledger = deployment.links.host_by_name[FIRST].counter.ledger
-        ledger.note("wards", 3000, 0.0, deployment.clock.now())
+        ledger.record_usage("wards", 3000, 0.0, deployment.clock.now())
         begun = deployment.clock.now()
         verdict = await deployment.client.async_hold(deployment.request(100))
         assert deployment.clock.now() - begun < 0.1
@@ -165,7 +165,7 @@
         if lost == "no lease":
             first.basis = None
         else:
-            first.counter.ledger.note("wards", 640, 0.0, clock.now())
+            first.counter.ledger.record_usage("wards", 640, 0.0, clock.now())
 
         async def async_lose() -> None:
             await curio.sleep(0.05)
@@ -218,7 +218,7 @@
 def test_repeat_is_refused_beyond_its_bound_without_waiting():
     async def main(deployment: Deployment) -> None:
         ledger = deployment.links.host_by_name[FIRST].counter.ledger
-        ledger.note("wards", LIMIT, 0.0, deployment.clock.now())
+        ledger.record_usage("wards", LIMIT, 0.0, deployment.clock.now())
         small = await deployment.client.async_hold_repeat(deployment.request(100))
         large = await deployment.client.async_hold_repeat(deployment.request(900))
         assert small.wait is None
--- a/tests/components/entry/test_quota_queue.py
+++ b/tests/components/entry/test_quota_queue.py
@@ -3,16 +3,16 @@
 import pytest
 
 from bitterntiller.components.config.models import Config
-from bitterntiller.components.dispatch.quota_counter import CountBasis
+from bitterntiller.components.dispatch.quota_counter import QuotaContext
 from bitterntiller.components.dispatch.quota_queue import (
-    LARGEST_PART,
-    Ask,
+    LARGEST_REQUEST_FRACTION,
+    QuotaRequest,
     max_min_share,
 )
 from bitterntiller.components.dispatch.retry_reservations import (
-    EARLY_SECONDS,
-    RETURN_GRACE_SECONDS,
-    Refused,
+    EARLY_RETRY_SECONDS,
+    RETRY_GRACE_SECONDS,
+    QuotaRefusal,
 )
 from bitterntiller.components.entry.quota import Hold
 from bitterntiller.components.settings.models import QuotaWindow
@@ -28,7 +28,7 @@
 def test_request_larger_than_the_window_is_told_so_at_once():
     shared = QuotaHosts(WORKSPACE, WINDOW, HOSTS)
     found = shared.ask(0, LIMIT + 1, patience=1.0)
-    assert isinstance(found, Refused)
+    assert isinstance(found, QuotaRefusal)
     assert not found.retry_reserved
 
 
@@ -46,7 +46,7 @@
         shared.clock.advance(0.05)
         served += shared.send_all(1, 50, 1)
         shared.report()
-    assert served >= (1 - LARGEST_PART) * 300 * 50
+    assert served >= (1 - LARGEST_REQUEST_FRACTION) * 300 * 50
 
 
 def test_line_serves_in_the_order_of_arrival():
@@ -55,13 +55,13 @@
     while isinstance(shared.ask(0, 100), Hold):
         continue
     waiting = [shared.ask(host, 100, patience=1.0) for host in (1, 2, 3)]
-    assert all(isinstance(found, Ask) for found in waiting)
+    assert all(isinstance(found, QuotaRequest) for found in waiting)
     passed = []
     for _ in range(100):
         shared.clock.advance(0.01)
         newcomer = shared.ask(4, 10)
-        passed += [decision.ask.request_id for decision in shared.due()]
-        assert isinstance(newcomer, Refused) or len(passed) == 3
+        passed += [decision.request.request_id for decision in shared.due()]
+        assert isinstance(newcomer, QuotaRefusal) or len(passed) == 3
     assert passed == [found.request_id for found in waiting]
 
 
@@ -71,10 +71,10 @@
     while isinstance(shared.ask(0, 100), Hold):
         continue
     waiting = 0
-    while isinstance(found := shared.ask(1, 100, patience=0.3), Ask):
+    while isinstance(found := shared.ask(1, 100, patience=0.3), QuotaRequest):
         waiting += 1
     assert 1 <= waiting <= 4
-    assert isinstance(found, Refused)
+    assert isinstance(found, QuotaRefusal)
 
 
 def test_request_leaves_the_line_when_its_patience_ends():
@@ -85,22 +85,24 @@
     shared = QuotaHosts(WORKSPACE, WINDOW, HOSTS)
     while isinstance(shared.ask(0, 100), Hold):
         continue
-    assert isinstance(shared.ask(1, 100, patience=0.2), Ask)
-    shared.counter.ledger.note("wards", 2000, 0.0, shared.clock.now())
+    assert isinstance(shared.ask(1, 100, patience=0.2), QuotaRequest)
+    shared.counter.ledger.record_usage("wards", 2000, 0.0, shared.clock.now())
     shared.clock.advance(0.21)
     decisions = shared.due()
-    assert [decision.refused is not None for decision in decisions] == [True]
-    assert decisions[0].refused.retry_after >= 1.0
+    assert [decision.refusal is not None for decision in decisions] == [True]
+    assert decisions[0].refusal.retry_after >= 1.0
 
 
 def test_quota_that_is_taken_away_lets_the_line_through():
     shared = QuotaHosts(WORKSPACE, WINDOW, HOSTS)
     while isinstance(shared.ask(0, 100), Hold):
         continue
-    assert isinstance(shared.ask(1, 100, patience=0.2), Ask)
+    assert isinstance(shared.ask(1, 100, patience=0.2), QuotaRequest)
     free = CONFIG._replace(workspaces_by_name={"wards": WORKSPACE._replace(quota=None)})
-    decisions = shared.counter.due(CountBasis(free, 1.0), shared.clock.now())
-    assert [decision.refused for decision in decisions] == [None]
+    decisions = shared.counter.decide_queued(
+        QuotaContext(free, 1.0), shared.clock.now()
+    )
+    assert [decision.refusal for decision in decisions] == [None]
 
 
 @pytest.mark.parametrize(
@@ -141,14 +143,14 @@
 
 def refuse(
     shared: QuotaHosts, retry_fingerprint: int, latest_retry: float = 4.0
-) -> Refused:
+) -> QuotaRefusal:
     """Use the quota up and have a request refused."""
     while isinstance(shared.ask(0, 100), Hold):
         continue
     found = shared.ask(
         1, 100, retry_fingerprint=retry_fingerprint, latest_retry=latest_retry
     )
-    assert isinstance(found, Refused)
+    assert isinstance(found, QuotaRefusal)
     return found
 
 
@@ -161,9 +163,9 @@
     while isinstance(shared.ask(0, 20), Hold):
         continue
     early = shared.ask(1, 100, retry_fingerprint=-1)
-    assert isinstance(early, Refused)
+    assert isinstance(early, QuotaRefusal)
     assert early.retry_after == pytest.approx(found.retry_after / 2)
-    shared.clock.advance(early.retry_after - EARLY_SECONDS / 2)
+    shared.clock.advance(early.retry_after - EARLY_RETRY_SECONDS / 2)
     while isinstance(shared.ask(0, 20), Hold):
         continue
     assert isinstance(shared.ask(1, 100, retry_fingerprint=-1), Hold)
@@ -173,12 +175,12 @@
     """Callers that give up keep a workspace from using its quota."""
     shared = QuotaHosts(WORKSPACE, WINDOW, HOSTS)
     found = refuse(shared, retry_fingerprint=-1)
-    shared.clock.advance(found.retry_after + RETURN_GRACE_SECONDS + 0.01)
+    shared.clock.advance(found.retry_after + RETRY_GRACE_SECONDS + 0.01)
     late = shared.ask(1, 100, retry_fingerprint=-1)
     assert isinstance(late, Hold)
-    left = shared.state().left
+    left = shared.state().remaining
     assert isinstance(shared.ask(1, 100, retry_fingerprint=-1), Hold)
-    assert shared.state().left == left - 100
+    assert shared.state().remaining == left - 100
 
 
 def test_no_room_is_kept_for_a_caller_that_would_not_wait():
