--- a/bitterntiller/components/dispatch/canaries.py
+++ b/bitterntiller/components/dispatch/canary_picker.py
@@ -8,7 +8,7 @@
 from bitterntiller.components.rollouts.const import CANARIES
 
 
-class Canaries:
+class CanaryPicker:
     """Takes requests out of the usual choice, as far as an allowance goes.
 
     They are taken as they come, whatever the usual choice would weigh: the upstreams of
@@ -26,7 +26,7 @@
             return False
         return any(upstream.can_take(now) for upstream in self._pool.candidates(now))
 
-    def choose(self, job: Job, now: float) -> Upstream | None:
+    def pick(self, job: Job, now: float) -> Upstream | None:
         """Return an upstream of the judged version for a request that it is to get.
 
         Few upstreams get all of it, others only what has no room there. A request that
--- a/bitterntiller/components/dispatch/describe.py
+++ b/bitterntiller/components/dispatch/describe.py
@@ -1,25 +1,29 @@
 """The owner's view for the dump."""
 
-from bitterntiller.components.dispatch.admission import Admission
 from bitterntiller.components.dispatch.pool import Pool
 from bitterntiller.components.dispatch.queue import PoolQueue
 from bitterntiller.components.dispatch.upstreams import Upstream
+from bitterntiller.components.dispatch.wait_estimator import WaitEstimator
 
 
 def describe(
-    pool: Pool, queue: PoolQueue, admission: Admission, waiting: int, now: float
+    pool: Pool,
+    queue: PoolQueue,
+    wait_estimator: WaitEstimator,
+    waiting: int,
+    now: float,
 ) -> dict[str, object]:
     """Return the waiting work by tier and the upstreams by name."""
     return {
         "waiting": waiting,
         "slots": pool.slots,
-        "capacity": round(admission.capacity(), 3),
+        "capacity": round(wait_estimator.capacity(), 3),
         "tiers_by_rank": {
             str(rank): {
                 "waiting": tier.count,
                 "work_seconds": round(tier.work, 3),
                 "work_by_workspace": dict(tier.work_by_workspace),
-                "retry_after": round(admission.retry_after(rank, now), 3),
+                "retry_after": round(wait_estimator.retry_after(rank, now), 3),
             }
             for rank, tier in queue.tiers_by_rank.items()
         },
@@ -39,7 +43,7 @@
         "leaving": upstream.state.leaving,
         "heard_seconds_ago": round(now - upstream.heard_at, 3),
         "free": upstream.free,
-        "sick": upstream.health.sick,
+        "sick": upstream.health.unhealthy,
         "running": ledger.in_flight,
         "limit": upstream.limit.limit(upstream.state.slots),
         "rate_limit": upstream.rate_limiter.limit,
--- a/bitterntiller/components/dispatch/estimator.py
+++ b/bitterntiller/components/dispatch/estimator.py
@@ -11,17 +11,19 @@
 from bitterntiller.components.dispatch.jobs import Job
 from bitterntiller.components.dispatch.models import Completion, PolicyParameters
 from bitterntiller.components.dispatch.pool import Pool
-from bitterntiller.components.dispatch.sizes import Sizes
+from bitterntiller.components.dispatch.size_estimator import SizeEstimator
 from bitterntiller.components.dispatch.upstreams import Upstream
 
 
 class Estimator:
     """Passes samples on to the speed, limit, health and prefixes of upstreams."""
 
-    def __init__(self, parameters: PolicyParameters, pool: Pool, sizes: Sizes) -> None:
+    def __init__(
+        self, parameters: PolicyParameters, pool: Pool, size_estimator: SizeEstimator
+    ) -> None:
         self._plain = parameters.kind == KIND_PLAIN
         self._pool = pool
-        self._sizes = sizes
+        self._size_estimator = size_estimator
 
     def progress(
         self, job: Job, output_tokens: int, now: float, first: float | None
@@ -68,7 +70,7 @@
             return
         self._pool.note_success(upstream, now)
         upstream.worked_at = now
-        self._sizes.learn(job, completion)
+        self._size_estimator.learn(job, completion)
         # The time of a call tells of the upstream's speed only beside the measured
         # mean of such calls. Beside a guess it would show as an upstream that is
         # many times too slow or too fast for calls of all sizes.
--- a/bitterntiller/components/dispatch/granting.py
+++ b/bitterntiller/components/dispatch/granting.py
@@ -1,15 +1,19 @@
 """The loop that grants what waits, as long as an upstream is free."""
 
-from bitterntiller.components.dispatch.admission import Admission
-from bitterntiller.components.dispatch.choice import Choice, Chooser, Verdict
 from bitterntiller.components.dispatch.const import MAX_SKIPS
 from bitterntiller.components.dispatch.jobs import Job
 from bitterntiller.components.dispatch.lifecycle import JobLifecycle
 from bitterntiller.components.dispatch.models import Basis, Decision, Granted
+from bitterntiller.components.dispatch.picker import (
+    PickResult,
+    PickStatus,
+    UpstreamPicker,
+)
 from bitterntiller.components.dispatch.pool import Pool
 from bitterntiller.components.dispatch.queue import PoolQueue
 from bitterntiller.components.dispatch.refusals import Refusals
 from bitterntiller.components.dispatch.upstreams import Upstream
+from bitterntiller.components.dispatch.wait_estimator import WaitEstimator
 from bitterntiller.core.outcomes import Reason
 
 
@@ -27,8 +31,8 @@
         pool: Pool,
         queue: PoolQueue,
         jobs: JobLifecycle,
-        chooser: Chooser,
-        admission: Admission,
+        picker: UpstreamPicker,
+        wait_estimator: WaitEstimator,
         refusals: Refusals,
         blocked: set[tuple],
         lower_share: float,
@@ -36,8 +40,8 @@
         self._pool = pool
         self._queue = queue
         self._jobs = jobs
-        self._chooser = chooser
-        self._admission = admission
+        self._picker = picker
+        self._wait_estimator = wait_estimator
         self._refusals = refusals
         self._blocked = blocked
         self._lower_share = lower_share
@@ -50,21 +54,21 @@
             job = self._next()
             if job is None:
                 return
-            choice = self._chooser.choose(job, self._pool.view(job), now)
-            if choice.verdict is Verdict.CHOSEN:
-                decisions.append(self._grant(job, choice, now))
-            elif choice.verdict is Verdict.LATE:
+            pick = self._picker.pick(job, self._pool.view(job), now)
+            if pick.status is PickStatus.PICKED:
+                decisions.append(self._grant(job, pick, now))
+            elif pick.status is PickStatus.LATE:
                 decisions.append(self._refusals.give_up(job, Reason.TOO_LATE, now))
-            elif choice.verdict is Verdict.BLOCKED:
+            elif pick.status is PickStatus.BLOCKED:
                 self._blocked.add((job.queue_rank, job.group))
-                self._pool.reserve(job, choice.upstream, now)
+                self._pool.reserve(job, pick.upstream, now)
             else:
-                name = choice.upstream.name if choice.upstream else None
+                name = pick.upstream.name if pick.upstream else None
                 self._jobs.parking.park(job, name, now)
                 skips += 1
 
     def _any_free(self, now: float) -> bool:
-        return self._pool.any_free or self._chooser.canaries.any_free(now)
+        return self._pool.any_free or self._picker.canaries.any_free(now)
 
     def _take_freed(self) -> None:
         if not self._pool.freed:
@@ -82,11 +86,11 @@
                 return job
         return self._queue.head(self._blocked)
 
-    def _grant(self, job: Job, choice: Choice, now: float) -> Granted:
-        request, upstream = job.request, choice.upstream
+    def _grant(self, job: Job, pick: PickResult, now: float) -> Granted:
+        request, upstream = job.request, pick.upstream
         assert upstream is not None
-        self._jobs.grant(job, choice, now)
-        self._admission.note_grant(job, now)
+        self._jobs.grant(job, pick, now)
+        self._wait_estimator.note_grant(job, now)
         return Granted(
             request.request_id,
             request.entry_host,
@@ -94,8 +98,8 @@
             upstream.state.address,
             upstream.state.incarnation,
             Basis(
-                expected=choice.total,
-                cached_tokens=choice.cached,
+                expected=pick.total,
+                cached_tokens=pick.cached,
                 in_flight=upstream.ledger.in_flight,
                 waiting=self._jobs.waiting,
                 waited=now - request.arrived,
--- a/bitterntiller/components/dispatch/health.py
+++ b/bitterntiller/components/dispatch/health.py
@@ -1,6 +1,6 @@
 """Which upstreams are sick: found within seconds, probed, taken back."""
 
-FAILURES_TO_SICK = 3
+FAILURES_TO_UNHEALTHY = 3
 FIRST_PAUSE_SECONDS = 0.5
 MAX_PAUSE_SECONDS = 10.0
 
@@ -11,10 +11,10 @@
     The pause doubles with every failed probe. One good answer ends it.
     """
 
-    __slots__ = ("_failures", "_pause", "paused_until", "sick")
+    __slots__ = ("_failures", "_pause", "paused_until", "unhealthy")
 
     def __init__(self) -> None:
-        self.sick = False
+        self.unhealthy = False
         self.paused_until = 0.0
         self._failures = 0
         self._pause = FIRST_PAUSE_SECONDS
@@ -26,26 +26,26 @@
         refused connection.
         """
         self._failures += 1
-        if self.sick:
+        if self.unhealthy:
             if now >= self.paused_until:
                 self._pause = min(self._pause * 2, MAX_PAUSE_SECONDS)
                 self.paused_until = now + self._pause
             return False
-        if not certain and self._failures < FAILURES_TO_SICK:
+        if not certain and self._failures < FAILURES_TO_UNHEALTHY:
             return False
-        self.sick = True
+        self.unhealthy = True
         self.paused_until = now + self._pause
         return True
 
     def success(self) -> None:
         """Note a good answer."""
-        self.sick = False
+        self.unhealthy = False
         self.paused_until = 0.0
         self._failures = 0
         self._pause = FIRST_PAUSE_SECONDS
 
     def allowed(self, in_flight: int, now: float) -> bool:
         """Tell whether the upstream may be given one more request."""
-        if not self.sick:
+        if not self.unhealthy:
             return True
         return now >= self.paused_until and in_flight == 0
--- a/bitterntiller/components/dispatch/lifecycle.py
+++ b/bitterntiller/components/dispatch/lifecycle.py
@@ -3,15 +3,15 @@
 import itertools
 from collections.abc import Callable
 
-from bitterntiller.components.dispatch.choice import Choice
 from bitterntiller.components.dispatch.jobs import Job, JobState
 from bitterntiller.components.dispatch.limits import WorkspaceLimiter
 from bitterntiller.components.dispatch.models import PolicyParameters, WaitingRequest
 from bitterntiller.components.dispatch.parking import Parking
-from bitterntiller.components.dispatch.patience import Patience
+from bitterntiller.components.dispatch.picker import PickResult
 from bitterntiller.components.dispatch.pool import Pool
 from bitterntiller.components.dispatch.queue import PoolQueue
 from bitterntiller.components.dispatch.timers import JobTimers
+from bitterntiller.components.dispatch.wait_deadlines import WaitDeadlines
 
 LAPSED_KEPT_SECONDS = 1.0
 """Least time for which a lapsed grant is kept, should the news of its use be late."""
@@ -33,14 +33,14 @@
         pool: Pool,
         queue: PoolQueue,
         limiter: WorkspaceLimiter,
-        patience: Patience,
+        wait_deadlines: WaitDeadlines,
         on_room: Callable[[], None],
     ) -> None:
         self._grant_seconds = parameters.grant_seconds + parameters.grant_grace
         self._pool = pool
         self._queue = queue
         self._limiter = limiter
-        self._patience = patience
+        self._wait_deadlines = wait_deadlines
         self._on_room = on_room
         self._sequence = itertools.count()
         self.by_id: dict[str, Job] = {}
@@ -66,8 +66,8 @@
         self.waiting += 1
         self._limiter.wait(job.workspace, 1, now)
         self._queue.push(job)
-        self._patience.plan_look(job, now)
-        if self._patience.plan_objective(job, now):
+        self._wait_deadlines.plan_look(job, now)
+        if self._wait_deadlines.plan_objective(job, now):
             self.demote(job)
 
     def demote(self, job: Job) -> None:
@@ -86,9 +86,9 @@
         job.late = True
         self._queue.push(job)
 
-    def grant(self, job: Job, choice: Choice, now: float) -> None:
+    def grant(self, job: Job, pick: PickResult, now: float) -> None:
         """Take a request out of the queue and count it on its upstream."""
-        request, upstream = job.request, choice.upstream
+        request, upstream = job.request, pick.upstream
         assert upstream is not None
         upstream.tried_at = now
         upstream.rate_limiter.acquire(now)
@@ -98,9 +98,9 @@
         self._limiter.enter(job.workspace, now)
         job.state = JobState.GRANTED
         job.granted_at = now
-        job.expected_cached = choice.cached
-        job.prefill = request.prompt_tokens - choice.cached
-        job.expected_total = choice.total
+        job.expected_cached = pick.cached
+        job.prefill = request.prompt_tokens - pick.cached
+        job.expected_total = pick.total
         self._pool.attach(job, upstream, now)
         job.in_flight_at_start = upstream.ledger.in_flight
         if request.prefix_hashes:
--- a/bitterntiller/components/dispatch/choice.py
+++ b/bitterntiller/components/dispatch/picker.py
@@ -6,7 +6,7 @@
 from itertools import islice
 from typing import NamedTuple
 
-from bitterntiller.components.dispatch.canaries import Canaries
+from bitterntiller.components.dispatch.canary_picker import CanaryPicker
 from bitterntiller.components.dispatch.const import (
     HOUSEKEEPING_SECONDS,
     KIND_PLAIN,
@@ -24,29 +24,29 @@
 NEVER = float("inf")
 
 
-class Verdict(Enum):
+class PickStatus(Enum):
     """Why a request has no upstream yet.
 
     BLOCKED: none is free for it. WAIT: a free one would end it too late, but
     a busy one may end it in time. LATE: none can.
     """
 
-    CHOSEN = "chosen"
+    PICKED = "picked"
     BLOCKED = "blocked"
     WAIT = "wait"
     LATE = "late"
 
 
-class Choice(NamedTuple):
+class PickResult(NamedTuple):
     """The verdict, and the upstream chosen or waited for."""
 
-    verdict: Verdict
+    status: PickStatus
     upstream: Upstream | None = None
     cached: int = 0
     total: float = 0.0
 
 
-class Chooser:
+class UpstreamPicker:
     """Weighs the expected completion at each candidate.
 
     In a small pool all upstreams are candidates. In a large one some free ones
@@ -65,17 +65,17 @@
         self._pool = pool
         self._rng = rng
         self._isolation = isolation
-        self.canaries = Canaries(pool, isolation)
+        self.canaries = CanaryPicker(pool, isolation)
 
-    def choose(self, job: Job, view: View, now: float) -> Choice:
+    def pick(self, job: Job, view: View, now: float) -> PickResult:
         """Choose for a request that is at the head of its queue."""
-        canary = self.canaries.choose(job, now)
+        canary = self.canaries.pick(job, now)
         if canary is not None:
             cached, _, total = self._estimate(job, canary, now)
-            return Choice(Verdict.CHOSEN, canary, cached, total)
+            return PickResult(PickStatus.PICKED, canary, cached, total)
         parameters = self._parameters
         budget = job.request.deadline - now
-        best: Choice | None = None
+        best: PickResult | None = None
         best_score = NEVER
         open_for_it = False
         candidates = self._candidates(job, view)
@@ -91,7 +91,7 @@
             score = self._score(job, upstream, cached, total)
             if score < best_score:
                 best_score = score
-                best = Choice(Verdict.CHOSEN, upstream, cached, total)
+                best = PickResult(PickStatus.PICKED, upstream, cached, total)
         if best is not None:
             return best
         return self._why_none(job, view, candidates, open_for_it, now)
@@ -103,7 +103,7 @@
         candidates: list[Upstream],
         open_for_it: bool,
         now: float,
-    ) -> Choice:
+    ) -> PickResult:
         """Tell a request without an upstream what there is to wait for."""
         budget = job.request.deadline - now
         fastest: Upstream | None = None
@@ -119,12 +119,14 @@
         if fastest is not None and late:
             all_seen = len(view.members) <= SCAN_ALL_UP_TO
             if all_seen or self.best_case(job, view, now) > budget:
-                return self.probe(job, view, now) or Choice(Verdict.LATE)
+                return self.probe(job, view, now) or PickResult(PickStatus.LATE)
         if not open_for_it:
-            return Choice(Verdict.BLOCKED, fastest)
+            return PickResult(PickStatus.BLOCKED, fastest)
         if fastest is not None and self._idle_for(job, fastest, now):
-            return Choice(Verdict.CHOSEN, fastest, fastest_cached, fastest_seconds)
-        return Choice(Verdict.WAIT, fastest)
+            return PickResult(
+                PickStatus.PICKED, fastest, fastest_cached, fastest_seconds
+            )
+        return PickResult(PickStatus.WAIT, fastest)
 
     def _idle_for(self, job: Job, upstream: Upstream, now: float) -> bool:
         """Tell whether an upstream has nothing to do and may take a request.
@@ -135,12 +137,12 @@
         """
         return not upstream.ledger.in_flight and self._open(job, upstream, now)
 
-    def probe(self, job: Job, view: View, now: float) -> Choice | None:
+    def probe(self, job: Job, view: View, now: float) -> PickResult | None:
         """Choose an idle upstream of doubtful speed for a request that seems late."""
         for upstream in self._candidates(job, view):
             if upstream.in_doubt(now) and self._open(job, upstream, now):
                 cached, alone, _ = self._estimate(job, upstream, now)
-                return Choice(Verdict.CHOSEN, upstream, cached, alone)
+                return PickResult(PickStatus.PICKED, upstream, cached, alone)
         return None
 
     def best_case(self, job: Job, view: View, now: float) -> float:
--- a/bitterntiller/components/dispatch/pool.py
+++ b/bitterntiller/components/dispatch/pool.py
@@ -289,7 +289,7 @@
 
     def note_success(self, upstream: Upstream, now: float) -> None:
         """Note a good answer of an upstream."""
-        was_sick = upstream.health.sick
+        was_sick = upstream.health.unhealthy
         upstream.health.success()
         if was_sick:
             self._note_change(upstream, UpstreamChange.WELL, now)
@@ -341,7 +341,7 @@
 
     def _plan_thaw(self, upstream: Upstream, now: float) -> None:
         when = now + max(upstream.prefill_wait(now), upstream.rate_limiter.wait(now))
-        if upstream.health.sick:
+        if upstream.health.unhealthy:
             when = max(when, upstream.health.paused_until)
         if when <= now:
             return
--- a/bitterntiller/components/dispatch/refusals.py
+++ b/bitterntiller/components/dispatch/refusals.py
@@ -1,12 +1,12 @@
 """Which requests are refused, and what their callers are told."""
 
-from bitterntiller.components.dispatch.admission import Admission
 from bitterntiller.components.dispatch.jobs import Job
 from bitterntiller.components.dispatch.lifecycle import JobLifecycle
 from bitterntiller.components.dispatch.limits import WorkspaceLimiter
 from bitterntiller.components.dispatch.models import RefusalBasis, Refused
-from bitterntiller.components.dispatch.patience import Patience
 from bitterntiller.components.dispatch.pool import Pool
+from bitterntiller.components.dispatch.wait_deadlines import WaitDeadlines
+from bitterntiller.components.dispatch.wait_estimator import WaitEstimator
 from bitterntiller.core.outcomes import Reason
 
 
@@ -17,15 +17,15 @@
         self,
         pool: Pool,
         jobs: JobLifecycle,
-        admission: Admission,
+        wait_estimator: WaitEstimator,
         limiter: WorkspaceLimiter,
-        patience: Patience,
+        wait_deadlines: WaitDeadlines,
     ) -> None:
         self._pool = pool
         self._jobs = jobs
-        self._admission = admission
+        self._wait_estimator = wait_estimator
         self._limiter = limiter
-        self._patience = patience
+        self._wait_deadlines = wait_deadlines
 
     def at_entry(self, job: Job, now: float) -> Refused | None:
         """Refuse what is over its workspace's limits or late already."""
@@ -37,9 +37,9 @@
             limit = self._limiter.concurrency(workspace)
             waiting = self._limiter.waiting(workspace)
             if waiting >= max(1, limit or 0):
-                retry = self._admission.retry_after(job.rank, now)
+                retry = self._wait_estimator.retry_after(job.rank, now)
                 return self._refusal(job, Reason.CONCURRENCY_LIMIT, retry, now)
-        if now + job.best_case >= job.request.deadline and self._patience.is_late(
+        if now + job.best_case >= job.request.deadline and self._wait_deadlines.is_late(
             job, now
         ):
             return self.of(job, Reason.TOO_LATE, now)
@@ -61,10 +61,10 @@
         come back: the caller is told that there is none, and to look again soon.
         """
         if not self._pool.view(job).members:
-            retry = self._admission.retry_without_upstream()
+            retry = self._wait_estimator.retry_without_upstream()
             return self._refusal(job, Reason.NO_UPSTREAM, retry, now)
-        self._admission.note_refused(job, now)
-        retry = self._admission.retry_after(job.rank, now)
+        self._wait_estimator.note_refused(job, now)
+        retry = self._wait_estimator.retry_after(job.rank, now)
         return self._refusal(job, reason, retry, now)
 
     def _refusal(
--- a/bitterntiller/components/dispatch/scheduler.py
+++ b/bitterntiller/components/dispatch/scheduler.py
@@ -2,8 +2,6 @@
 
 import random
 
-from bitterntiller.components.dispatch.admission import Admission
-from bitterntiller.components.dispatch.choice import Chooser
 from bitterntiller.components.dispatch.const import (
     HOUSEKEEPING_SECONDS,
     IDLE_WAKE_SECONDS,
@@ -34,13 +32,15 @@
     WorkspaceLimits,
 )
 from bitterntiller.components.dispatch.ordering import new_ordering
-from bitterntiller.components.dispatch.patience import Patience
+from bitterntiller.components.dispatch.picker import UpstreamPicker
 from bitterntiller.components.dispatch.pool import Pool
 from bitterntiller.components.dispatch.queue import PoolQueue
 from bitterntiller.components.dispatch.refusals import Refusals
 from bitterntiller.components.dispatch.shedding import Shedder
-from bitterntiller.components.dispatch.sizes import Sizes
+from bitterntiller.components.dispatch.size_estimator import SizeEstimator
 from bitterntiller.components.dispatch.upstream_events import UpstreamEvent
+from bitterntiller.components.dispatch.wait_deadlines import WaitDeadlines
+from bitterntiller.components.dispatch.wait_estimator import WaitEstimator
 from bitterntiller.components.rollouts.models import VersionRules
 from bitterntiller.core.interfaces import CrashView
 from bitterntiller.core.outcomes import Reason
@@ -77,15 +77,15 @@
         self._pool = Pool(parameters)
         self._queue = PoolQueue(parameters.fair, self._limiter)
         self._ordering = new_ordering(parameters)
-        self._sizes = Sizes(parameters, self._pool.speed)
-        self._estimator = Estimator(parameters, self._pool, self._sizes)
+        self._size_estimator = SizeEstimator(parameters, self._pool.speed)
+        self._estimator = Estimator(parameters, self._pool, self._size_estimator)
         self._isolation = Isolation(crashes or NoCrashes(), self._pool)
-        self._chooser = Chooser(parameters, self._pool, rng, self._isolation)
-        self._patience = Patience(parameters, self._pool, self._chooser)
-        self._admission = Admission(
+        self._picker = UpstreamPicker(parameters, self._pool, rng, self._isolation)
+        self._wait_deadlines = WaitDeadlines(parameters, self._pool, self._picker)
+        self._wait_estimator = WaitEstimator(
             self._pool, self._queue, self._limiter, rng, parameters.lower_share
         )
-        self._shedder = Shedder(parameters, self._queue, self._admission)
+        self._shedder = Shedder(parameters, self._queue, self._wait_estimator)
         self._housekeeping_at = 0.0
         self._blocked: set[tuple] = set()
         self._jobs = JobLifecycle(
@@ -93,18 +93,22 @@
             self._pool,
             self._queue,
             self._limiter,
-            self._patience,
+            self._wait_deadlines,
             self._blocked.clear,
         )
         self._refusals = Refusals(
-            self._pool, self._jobs, self._admission, self._limiter, self._patience
+            self._pool,
+            self._jobs,
+            self._wait_estimator,
+            self._limiter,
+            self._wait_deadlines,
         )
         self._granting = Granting(
             self._pool,
             self._queue,
             self._jobs,
-            self._chooser,
-            self._admission,
+            self._picker,
+            self._wait_estimator,
             self._refusals,
             self._blocked,
             parameters.lower_share,
@@ -146,7 +150,7 @@
             decisions.append(self._refusals.quarantined(job, quarantined_for, now))
             return
         self._size(job, now)
-        job.best_case = self._chooser.best_case(job, self._pool.view(job), now)
+        job.best_case = self._picker.best_case(job, self._pool.view(job), now)
         refused = self._refusals.at_entry(job, now)
         if refused is not None:
             decisions.append(refused)
@@ -155,7 +159,7 @@
         if decisions and decisions[-1].request_id == request.request_id:
             return
         self._jobs.keep(job)
-        self._admission.note_arrival(job, now)
+        self._wait_estimator.note_arrival(job, now)
         self._jobs.enqueue(job, now)
 
     def cancel(self, request_id: str, now: float) -> list[Decision]:
@@ -267,7 +271,7 @@
     ) -> list[Decision]:
         """Put version rules in force; what is judged is sent under the allowance."""
         decisions: list[Decision] = []
-        self._chooser.canaries.allowance = allowance
+        self._picker.canaries.allowance = allowance
         self._pool.set_versions(rules, now)
         self._blocked.clear()
         self._granting.decide(now, decisions)
@@ -304,9 +308,9 @@
         for job in self._jobs.lapses.due(now):
             self._jobs.lapse(job, now)
         self._jobs.parking.unpark_due(now)
-        for job in self._patience.due_objectives(now):
+        for job in self._wait_deadlines.due_objectives(now):
             self._jobs.demote(job)
-        for job in self._patience.due_looks(now):
+        for job in self._wait_deadlines.due_looks(now):
             self._check_lateness(job, now, decisions)
         self._pool.thaw(now)
         if now >= self._housekeeping_at:
@@ -323,7 +327,7 @@
             housekeeping,
             self._jobs.lapses.next(),
             self._jobs.parking.next(),
-            self._patience.next(),
+            self._wait_deadlines.next(),
             self._pool.next_thaw(),
         )
 
@@ -334,11 +338,11 @@
     def describe(self, now: float) -> dict[str, object]:
         """Return the owner's view for the dump."""
         return describe(
-            self._pool, self._queue, self._admission, self._jobs.waiting, now
+            self._pool, self._queue, self._wait_estimator, self._jobs.waiting, now
         )
 
     def _size(self, job: Job, now: float) -> None:
-        self._sizes.size(job)
+        self._size_estimator.estimate(job)
         self._pool.note_tier(job.rank)
         job.order_key = self._ordering.key(job)
         self._group(job, now)
@@ -392,21 +396,21 @@
     def _check_lateness(self, job: Job, now: float, decisions: list[Decision]) -> None:
         if not self._jobs.is_live(job) or not job.waiting:
             return
-        if self._patience.is_late(job, now):
+        if self._wait_deadlines.is_late(job, now):
             decisions.append(self._refusals.give_up(job, Reason.TOO_LATE, now))
             return
-        if self._patience.without_upstream(job, now):
+        if self._wait_deadlines.without_upstream(job, now):
             decisions.append(self._refusals.give_up(job, Reason.NO_UPSTREAM, now))
             return
-        self._patience.plan_look(job, now)
+        self._wait_deadlines.plan_look(job, now)
 
     def _housekeep(self, now: float, decisions: list[Decision]) -> None:
         self._housekeeping_at = now + HOUSEKEEPING_SECONDS
         self._pool.housekeep(now)
-        for timers in (self._patience, self._jobs.lapses, self._jobs.parking):
+        for timers in (self._wait_deadlines, self._jobs.lapses, self._jobs.parking):
             timers.prune(len(self._jobs.by_id), self._jobs.is_live)
         self._blocked.clear()
-        self._admission.interval(now)
+        self._wait_estimator.interval(now)
         self._jobs.parking.unpark_all()
         for job in self._shedder.trim(now):
             del self._jobs.by_id[job.request.request_id]
--- a/bitterntiller/components/dispatch/shedding.py
+++ b/bitterntiller/components/dispatch/shedding.py
@@ -1,25 +1,28 @@
 """Who is given up when more waits than can be served: the lowest tier first."""
 
-from bitterntiller.components.dispatch.admission import Admission
 from bitterntiller.components.dispatch.const import MAX_TRIMMED
 from bitterntiller.components.dispatch.jobs import Job
 from bitterntiller.components.dispatch.models import PolicyParameters
 from bitterntiller.components.dispatch.queue import Flow, PoolQueue, TierQueue, overlap
+from bitterntiller.components.dispatch.wait_estimator import WaitEstimator
 
 
 class Shedder:
     """Picks victims; the only place where a waiting request is displaced."""
 
     def __init__(
-        self, parameters: PolicyParameters, queue: PoolQueue, admission: Admission
+        self,
+        parameters: PolicyParameters,
+        queue: PoolQueue,
+        wait_estimator: WaitEstimator,
     ) -> None:
         self._parameters = parameters
         self._queue = queue
-        self._admission = admission
+        self._wait_estimator = wait_estimator
 
     def overloaded(self, job: Job, best_case: float, now: float) -> bool:
         """Tell whether a new request is expected to wait for too long."""
-        job.expected_wait = self._admission.expected_wait(job, now)
+        job.expected_wait = self._wait_estimator.expected_wait(job, now)
         start_by = job.request.start_by
         if start_by is not None:
             return job.expected_wait > start_by - now
@@ -65,7 +68,7 @@
         job = flow.last()
         start_by = job.request.start_by
         slack = (start_by or job.request.deadline - job.work) - now
-        return self._admission.expected_wait(job, now) > slack
+        return self._wait_estimator.expected_wait(job, now) > slack
 
     @staticmethod
     def _last(tier: TierQueue, job: Job) -> Job | None:
--- a/bitterntiller/components/dispatch/sizes.py
+++ b/bitterntiller/components/dispatch/size_estimator.py
@@ -33,7 +33,7 @@
 MEAN_GAIN = 0.01
 
 
-class Sizes:
+class SizeEstimator:
     """Learns how much of the stated output is used, and what is long work.
 
     For a plain service the expected output of a call is its expected seconds.
@@ -50,7 +50,7 @@
         self._plain = parameters.kind == KIND_PLAIN
         self._calls = CallSeconds()
 
-    def size(self, job: Job) -> None:
+    def estimate(self, job: Job) -> None:
         """Set what is expected of a new request."""
         if self._plain:
             self._size_call(job)
--- a/bitterntiller/components/dispatch/upstreams.py
+++ b/bitterntiller/components/dispatch/upstreams.py
@@ -75,14 +75,14 @@
 
     def event(self, change: UpstreamChange, now: float) -> UpstreamEvent:
         """Return a change of what is believed here, with what it rests on."""
-        sick = change is UpstreamChange.SICK
+        unhealthy = change is UpstreamChange.SICK
         return UpstreamEvent(
             self.name,
             change,
             heard=now - self.heard_at,
             worked=now - self.worked_at,
             in_flight=self.ledger.in_flight,
-            probe_in=self.health.paused_until - now if sick else None,
+            probe_in=self.health.paused_until - now if unhealthy else None,
             limit=self.rate_limiter.limit,
         )
 
--- a/bitterntiller/components/dispatch/patience.py
+++ b/bitterntiller/components/dispatch/wait_deadlines.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Callable
 
-from bitterntiller.components.dispatch.choice import Chooser
 from bitterntiller.components.dispatch.const import PARK_SECONDS
 from bitterntiller.components.dispatch.jobs import Job
 from bitterntiller.components.dispatch.models import PolicyParameters
+from bitterntiller.components.dispatch.picker import UpstreamPicker
 from bitterntiller.components.dispatch.pool import Pool
 from bitterntiller.components.dispatch.timers import JobTimers
 from bitterntiller.components.dispatch.typical import TypicalPrefill
@@ -19,15 +19,15 @@
 LEAVING_SECONDS, since what is known of the fastest prefill moves the time a little."""
 
 
-class Patience:
+class WaitDeadlines:
     """Knows when waiting requests have to be looked at, and which are late."""
 
     def __init__(
-        self, parameters: PolicyParameters, pool: Pool, chooser: Chooser
+        self, parameters: PolicyParameters, pool: Pool, picker: UpstreamPicker
     ) -> None:
         self._no_upstream = parameters.no_upstream_seconds
         self._pool = pool
-        self._chooser = chooser
+        self._picker = picker
         self._looks = JobTimers()
         self._objectives = JobTimers()
         self._typical = TypicalPrefill()
@@ -48,7 +48,7 @@
         first_by = job.request.first_by
         if first_by is None or job.late:
             return False
-        first_case = self._chooser.first_case(job, self._pool.view(job), now)
+        first_case = self._picker.first_case(job, self._pool.view(job), now)
         self._typical.learn(job.rank, first_case)
         # The same for all sizes: with its own prefill subtracted, a large request would
         # lose its place in a long queue before the small ones around it.
@@ -82,14 +82,14 @@
         work that it could displace.
         """
         view = self._pool.view(job)
-        job.best_case = self._chooser.best_case(job, view, now)
+        job.best_case = self._picker.best_case(job, view, now)
         if now >= job.request.deadline:
             return True
         if job.request.start_by is not None and now >= self._last_start(job, now):
             return True
         if now + job.best_case < job.request.deadline:
             return False
-        return self._chooser.probe(job, view, now) is None
+        return self._picker.probe(job, view, now) is None
 
     def without_upstream(self, job: Job, now: float) -> bool:
         """Tell whether a request has waited too long for any upstream to be there."""
@@ -102,5 +102,5 @@
         when = request.deadline - job.best_case
         if request.start_by is None:
             return when
-        first = self._chooser.first_case(job, self._pool.view(job), now)
+        first = self._picker.first_case(job, self._pool.view(job), now)
         return min(when, request.start_by - first - LEAVING_SECONDS)
--- a/bitterntiller/components/dispatch/admission.py
+++ b/bitterntiller/components/dispatch/wait_estimator.py
@@ -20,7 +20,7 @@
 """About the time in which an upstream announces itself after its start."""
 
 
-class Admission:
+class WaitEstimator:
     """Knows the work that waits, the work that arrives and how fast it drains.
 
     Work is in seconds of expected service on a mean upstream.
