--- a/bitterntiller/components/dispatch/canary_picker.py
+++ b/bitterntiller/components/dispatch/canary_picker.py
@@ -24,7 +24,9 @@
         """Tell whether a request may go to the version that is judged."""
         if self.allowance is None or not self.allowance.is_open(now):
             return False
-        return any(upstream.can_take(now) for upstream in self._pool.candidates(now))
+        return any(
+            upstream.can_take(now) for upstream in self._pool.candidate_upstreams(now)
+        )
 
     def pick(self, job: Job, now: float) -> Upstream | None:
         """Return an upstream of the judged version for a request that it is to get.
@@ -37,7 +39,7 @@
             return None
         if self._isolation.suspect_key(job.request, now):
             return None
-        candidates = self._pool.candidates(now)
+        candidates = self._pool.candidate_upstreams(now)
         for some in (candidates[:CANARIES], candidates[CANARIES:]):
             free = [upstream for upstream in some if self._may_take(job, upstream, now)]
             if not free:
@@ -53,4 +55,4 @@
             return False
         if upstream.name in job.request.tried:
             return False
-        return upstream.can_take(now) and upstream.fits(job.kv)
+        return upstream.can_take(now) and upstream.fits(job.kv_tokens)
--- a/bitterntiller/components/dispatch/describe.py
+++ b/bitterntiller/components/dispatch/describe.py
@@ -48,9 +48,9 @@
         "limit": upstream.limit.limit(upstream.state.slots),
         "rate_limit": upstream.rate_limiter.limit,
         "next_turn_seconds": round(upstream.rate_limiter.wait(now), 3),
-        "foreign": round(ledger.foreign(now), 2),
+        "foreign": round(ledger.foreign_requests(now), 2),
         "kv_tokens": ledger.kv_tokens,
-        "prefill_seconds": round(ledger.backlog(upstream.speed, now), 3),
+        "prefill_seconds": round(ledger.prefill_backlog(upstream.speed, now), 3),
         "speed_scale": round(upstream.speed.scale, 3),
         "prefix_trust": round(upstream.prefixes.trust, 3),
     }
--- a/bitterntiller/components/dispatch/estimator.py
+++ b/bitterntiller/components/dispatch/estimator.py
@@ -40,7 +40,7 @@
             return
         upstream.worked_at = now
         upstream.shows_progress = True
-        if job.first_seen is None and job.tokens_seen == 0:
+        if job.first_output_at is None and job.tokens_seen == 0:
             when = now
             if first is not None and not job.adopted:
                 when = min(now, job.granted_at + first)
@@ -56,7 +56,7 @@
         if upstream is None:
             return
         if completion.load is not None:
-            upstream.ledger.fold(completion.load, now)
+            upstream.ledger.apply_load_report(completion.load, now)
         # A caller that leaves, or asks for what the upstream rejects, says nothing
         # against the upstream. Counted as failures, a few of them in a row would
         # show as an upstream that pauses for everybody.
@@ -74,7 +74,7 @@
         # The time of a call tells of the upstream's speed only beside the measured
         # mean of such calls. Beside a guess it would show as an upstream that is
         # many times too slow or too fast for calls of all sizes.
-        if not (self._plain and (job.adopted or job.guessed)):
+        if not (self._plain and (job.adopted or job.unmeasured)):
             self._learn_end(job, upstream, completion, now)
         if completion.cached_tokens is not None:
             upstream.prefixes.correct(job.expected_cached, completion.cached_tokens)
@@ -82,7 +82,7 @@
     def not_run(self, upstream: Upstream, reason: str, now: float) -> None:
         """Learn from a request that the upstream did not take."""
         if reason == REASON_NOT_ADMITTED:
-            upstream.limit.not_admitted(
+            upstream.limit.record_rejection(
                 upstream.ledger.in_flight - 1, upstream.state.slots
             )
             self._pool.note_failure(upstream, now)
@@ -92,8 +92,8 @@
         )
 
     def _first_token(self, job: Job, upstream: Upstream, now: float) -> None:
-        job.first_seen = now
-        seconds = upstream.ledger.first_token(job, now)
+        job.first_output_at = now
+        seconds = upstream.ledger.finish_prefill(job, now)
         if seconds is None:
             return
         expected = upstream.speed.prefill_seconds(job.prefill, job.kind)
@@ -118,7 +118,7 @@
         elif first is None:
             size = max(job.expected_output, 1.0)
             upstream.speed.learn_decode(size, completion.total, in_flight)
-        elif job.first_seen is None:
+        elif job.first_output_at is None:
             self._first_token(job, upstream, job.granted_at + first)
             upstream.speed.learn_decode(
                 completion.output_tokens - 1, completion.total - first, in_flight
@@ -129,4 +129,4 @@
             return
         upstream.speed.learn_total(job.expected_total, completion.total)
         upstream.limit.learn(completion.total / job.work, upstream.state.slots)
-        self._pool.note_pace(job.work, completion.total)
+        self._pool.note_service_time(job.work, completion.total)
--- a/bitterntiller/components/dispatch/granting.py
+++ b/bitterntiller/components/dispatch/granting.py
@@ -58,9 +58,9 @@
             if pick.status is PickStatus.PICKED:
                 decisions.append(self._grant(job, pick, now))
             elif pick.status is PickStatus.LATE:
-                decisions.append(self._refusals.give_up(job, Reason.TOO_LATE, now))
+                decisions.append(self._refusals.drop(job, Reason.TOO_LATE, now))
             elif pick.status is PickStatus.BLOCKED:
-                self._blocked.add((job.queue_rank, job.group))
+                self._blocked.add((job.queue_rank, job.group_key))
                 self._pool.reserve(job, pick.upstream, now)
             else:
                 name = pick.upstream.name if pick.upstream else None
@@ -80,7 +80,7 @@
 
     def _next(self) -> Job | None:
         """Return the next request: of a tier short of its share, or the head."""
-        for rank in self._pool.short_ranks(self._lower_share):
+        for rank in self._pool.ranks_below_share(self._lower_share):
             job = self._queue.head_of(rank, self._blocked)
             if job is not None:
                 return job
@@ -104,10 +104,10 @@
                 waiting=self._jobs.waiting,
                 waited=now - request.arrived,
                 expected_wait=job.expected_wait,
-                late=job.late,
-                parked=job.parked,
+                late=job.demoted,
+                parked=job.park_count,
                 announced=now - upstream.heard_at,
-                tokens=job.kv,
+                tokens=job.kv_tokens,
                 rate_limit=upstream.rate_limiter.limit,
                 limit_age=_limit_age(upstream, now),
             ),
--- a/bitterntiller/components/dispatch/health.py
+++ b/bitterntiller/components/dispatch/health.py
@@ -19,7 +19,7 @@
         self._failures = 0
         self._pause = FIRST_PAUSE_SECONDS
 
-    def failure(self, now: float, certain: bool = False) -> bool:
+    def record_failure(self, now: float, certain: bool = False) -> bool:
         """Note a failure; return True when the upstream has become sick.
 
         certain is a failure that more tries can't explain away, such as a
@@ -37,14 +37,14 @@
         self.paused_until = now + self._pause
         return True
 
-    def success(self) -> None:
+    def record_success(self) -> None:
         """Note a good answer."""
         self.unhealthy = False
         self.paused_until = 0.0
         self._failures = 0
         self._pause = FIRST_PAUSE_SECONDS
 
-    def allowed(self, in_flight: int, now: float) -> bool:
+    def allows_request(self, in_flight: int, now: float) -> bool:
         """Tell whether the upstream may be given one more request."""
         if not self.unhealthy:
             return True
--- a/bitterntiller/components/dispatch/inflight.py
+++ b/bitterntiller/components/dispatch/inflight.py
@@ -3,11 +3,11 @@
 import math
 
 TOLERANCE = 2.5
-BASE_GAIN = 0.01
-NOW_GAIN = 0.2
+LONG_RUN_GAIN = 0.01
+RECENT_GAIN = 0.2
 MIN_LIMIT = 2.0
-SMOOTH = 0.2
-REGAIN = 0.25
+LIMIT_GAIN = 0.2
+RECOVERY_STEP = 0.25
 """By how much each answer raises a limit that a refusal has lowered."""
 
 
@@ -20,12 +20,12 @@
     seen to expected seconds, so that sizes don't matter.
     """
 
-    __slots__ = ("_adaptive", "_base", "_now", "_value")
+    __slots__ = ("_adaptive", "_long_run_ratio", "_recent_ratio", "_value")
 
     def __init__(self, adaptive: bool = True) -> None:
         self._adaptive = adaptive
-        self._base: float | None = None
-        self._now = 1.0
+        self._long_run_ratio: float | None = None
+        self._recent_ratio = 1.0
         self._value = math.inf
 
     def limit(self, slots: int) -> int:
@@ -38,20 +38,23 @@
         Without adaptive a limit that was lowered by a refusal grows back alone.
         """
         if not self._adaptive:
-            self._value = min(self._value + REGAIN, float(slots))
+            self._value = min(self._value + RECOVERY_STEP, float(slots))
             return
-        if self._base is None:
-            self._base = self._now = ratio
+        if self._long_run_ratio is None:
+            self._long_run_ratio = self._recent_ratio = ratio
             self._value = float(slots)
             return
-        self._now += NOW_GAIN * (ratio - self._now)
-        self._base += BASE_GAIN * (ratio - self._base)
-        gradient = min(1.0, max(0.5, TOLERANCE * self._base / max(self._now, 1e-9)))
+        self._recent_ratio += RECENT_GAIN * (ratio - self._recent_ratio)
+        self._long_run_ratio += LONG_RUN_GAIN * (ratio - self._long_run_ratio)
+        gradient = min(
+            1.0,
+            max(0.5, TOLERANCE * self._long_run_ratio / max(self._recent_ratio, 1e-9)),
+        )
         value = min(self._value, float(slots))
         target = value * gradient + math.sqrt(value)
-        value += SMOOTH * (target - value)
+        value += LIMIT_GAIN * (target - value)
         self._value = min(max(value, MIN_LIMIT), float(slots))
 
-    def not_admitted(self, in_flight: int, slots: int) -> None:
+    def record_rejection(self, in_flight: int, slots: int) -> None:
         """Learn that the upstream took no more beside so many in flight."""
         self._value = max(MIN_LIMIT, min(self._value, float(slots), float(in_flight)))
--- a/bitterntiller/components/dispatch/jobs.py
+++ b/bitterntiller/components/dispatch/jobs.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from bitterntiller.components.dispatch.upstreams import Upstream
 
-LATE_RANKS = 0.5
+DEMOTION_RANK_OFFSET = 0.5
 """By how many ranks a late request stands behind its tier: before the next one."""
 
 
@@ -23,7 +23,7 @@
     PARKED = "parked"
     GRANTED = "granted"
     RUNNING = "running"
-    LAPSED = "lapsed"
+    EXPIRED = "expired"
     GONE = "gone"
 
 
@@ -41,28 +41,28 @@
 
     __slots__ = (
         "adopted",
-        "best_case",
+        "min_service_seconds",
         "blocked_since",
-        "entered",
+        "received_at",
         "expected_cached",
         "expected_output",
         "expected_total",
         "expected_wait",
-        "first_seen",
+        "first_output_at",
         "granted_at",
-        "group",
-        "guessed",
+        "group_key",
+        "unmeasured",
         "in_flight_at_start",
         "kind",
-        "kv",
-        "late",
+        "kv_tokens",
+        "demoted",
         "order_key",
-        "parked",
+        "park_count",
         "target",
         "prefill",
         "rank",
         "reregistered",
-        "returns",
+        "return_count",
         "request",
         "sequence",
         "state",
@@ -78,16 +78,16 @@
         self.workspace = request.workspace
         self.rank = request.tier_rank
         self.sequence = sequence
-        self.entered = now
+        self.received_at = now
         self.state = JobState.QUEUED
         self.kind = 0
         self.work = 0.0
-        self.best_case = 0.0
+        self.min_service_seconds = 0.0
         self.expected_output = float(request.output_tokens)
-        self.kv = request.prompt_tokens + request.output_tokens
+        self.kv_tokens = request.prompt_tokens + request.output_tokens
         self.order_key = 0.0
-        self.late = False
-        self.group: tuple = ()
+        self.demoted = False
+        self.group_key: tuple = ()
         self.upstream: Upstream | None = None
         self.target: Upstream | None = None
         self.blocked_since: float | None = None
@@ -97,19 +97,19 @@
         self.expected_total = 0.0
         self.expected_wait = 0.0
         self.in_flight_at_start = 0
-        self.first_seen: float | None = None
+        self.first_output_at: float | None = None
         self.tokens_seen = 0
         self.tokens_at = 0.0
         self.reregistered = False
-        self.returns = 0
-        self.parked = 0
+        self.return_count = 0
+        self.park_count = 0
         self.adopted = False
-        self.guessed = False
+        self.unmeasured = False
 
     @property
     def queue_rank(self) -> float:
         """Return the place of its queue: what is late comes behind its own tier."""
-        return self.rank + LATE_RANKS if self.late else float(self.rank)
+        return self.rank + DEMOTION_RANK_OFFSET if self.demoted else float(self.rank)
 
     @property
     def waiting(self) -> bool:
--- a/bitterntiller/components/dispatch/ledger.py
+++ b/bitterntiller/components/dispatch/ledger.py
@@ -12,11 +12,11 @@
 HISTORY_LENGTH = 512
 REPORT_SLACK_SECONDS = 0.2
 FOREIGN_GAIN = 0.5
-FOREIGN_SECONDS = 2.0
+FOREIGN_DECAY_SECONDS = 2.0
 """Time constant in which work of others fades that no report repeats: that of a usual
 request, and many times the pause between reports of an upstream that is given work."""
 
-NEED_SECONDS = 0.2
+NEEDS_CACHE_SECONDS = 0.2
 TRANSIT_SECONDS = 0.1
 
 
@@ -40,7 +40,7 @@
         self.long_jobs = 0
         self._foreign = 0.0
         self._foreign_at = 0.0
-        self.head_began = 0.0
+        self.head_started_at = 0.0
         self._needs_by_rank: dict[int, Need] = {}
         self._needs_at = float("-inf")
         self._history: deque[tuple[float, int]] = deque(maxlen=HISTORY_LENGTH)
@@ -54,13 +54,13 @@
         """Count a request; prefilled tells that its first token has come."""
         request_id = job.request.request_id
         self.jobs_by_id[request_id] = job
-        self.kv_tokens += job.kv
+        self.kv_tokens += job.kv_tokens
         self.long_jobs += job.kind == LONG
-        self._remember(now)
+        self._record_in_flight(now)
         if prefilled:
             return
         if not self.prefilling_by_id:
-            self.head_began = now
+            self.head_started_at = now
         self.prefilling_by_id[request_id] = job
 
     def remove(self, job: Job, now: float) -> None:
@@ -68,12 +68,12 @@
         request_id = job.request.request_id
         if self.jobs_by_id.pop(request_id, None) is None:
             return
-        self.kv_tokens -= job.kv
+        self.kv_tokens -= job.kv_tokens
         self.long_jobs -= job.kind == LONG
-        self._remember(now)
+        self._record_in_flight(now)
         self._end_prefill(request_id, now)
 
-    def first_token(self, job: Job, now: float) -> float | None:
+    def finish_prefill(self, job: Job, now: float) -> float | None:
         """Note that a prefill is done.
 
         Return how long it took if it was the oldest one, which had the prefill
@@ -82,33 +82,33 @@
         request_id = job.request.request_id
         if request_id not in self.prefilling_by_id:
             return None
-        began = self.head_began
+        began = self.head_started_at
         at_head = next(iter(self.prefilling_by_id)) == request_id
         self._end_prefill(request_id, now)
         return now - began if at_head else None
 
-    def backlog(self, speed: Speed, now: float) -> float:
+    def prefill_backlog(self, speed: Speed, now: float) -> float:
         """Return the expected seconds until all prefill here is done."""
         if not self.prefilling_by_id:
             return 0.0
         jobs = iter(self.prefilling_by_id.values())
         head = next(jobs)
         expected = speed.prefill_seconds(head.prefill, head.kind)
-        left = expected - (now - self.head_began)
+        left = expected - (now - self.head_started_at)
         # An overdue prefill isn't done: it has at least a part of what it has
         # taken so far before it, or the upstream would look idle while it hangs.
-        seconds = max(left, 0.1 * (now - self.head_began))
+        seconds = max(left, 0.1 * (now - self.head_started_at))
         for job in jobs:
             seconds += speed.prefill_seconds(job.prefill, job.kind)
         return seconds
 
-    def needs(self, best: float, now: float) -> dict[int, Need]:
+    def tightest_needs(self, best: float, now: float) -> dict[int, Need]:
         """Return the tightest need of running work by rank of its tier.
 
         Work that could not end in time even at the best seconds per token is
         left out, since nothing is gained by sparing it.
         """
-        if now - self._needs_at < NEED_SECONDS:
+        if now - self._needs_at < NEEDS_CACHE_SECONDS:
             return self._needs_by_rank
         self._needs_at = now
         needs: dict[int, Need] = {}
@@ -128,7 +128,7 @@
         self._needs_by_rank = needs
         return needs
 
-    def fold(self, load: UpstreamLoad, now: float) -> None:
+    def apply_load_report(self, load: UpstreamLoad, now: float) -> None:
         """Fold a late load report in.
 
         The report counts the owner's requests of the time it was measured; only
@@ -138,18 +138,20 @@
         own = self._most_in_flight(load.measured_at)
         if own is None:
             return
-        foreign = max(0, load.running + load.waiting - own)
-        known = self.foreign(now)
-        self._foreign = known + FOREIGN_GAIN * (foreign - known)
+        foreign_requests = max(0, load.running + load.waiting - own)
+        known = self.foreign_requests(now)
+        self._foreign = known + FOREIGN_GAIN * (foreign_requests - known)
         self._foreign_at = now
 
-    def foreign(self, now: float) -> float:
+    def foreign_requests(self, now: float) -> float:
         """Return how many requests of others are there, as far as reports tell.
 
         It fades. Reports come with answers, and an upstream whose slots all count as
         taken by others is sent nothing to answer: it would stay idle for ever.
         """
-        return self._foreign * math.exp((self._foreign_at - now) / FOREIGN_SECONDS)
+        return self._foreign * math.exp(
+            (self._foreign_at - now) / FOREIGN_DECAY_SECONDS
+        )
 
     def clear(self) -> None:
         """Forget all; the upstream was started anew and runs none of it."""
@@ -164,10 +166,10 @@
         if request_id not in self.prefilling_by_id:
             return
         if next(iter(self.prefilling_by_id)) == request_id:
-            self.head_began = now
+            self.head_started_at = now
         del self.prefilling_by_id[request_id]
 
-    def _remember(self, now: float) -> None:
+    def _record_in_flight(self, now: float) -> None:
         self._history.append((now, len(self.jobs_by_id)))
         while self._history[0][0] < now - HISTORY_SECONDS:
             self._history.popleft()
--- a/bitterntiller/components/dispatch/lifecycle.py
+++ b/bitterntiller/components/dispatch/lifecycle.py
@@ -13,7 +13,7 @@
 from bitterntiller.components.dispatch.timers import JobTimers
 from bitterntiller.components.dispatch.wait_deadlines import WaitDeadlines
 
-LAPSED_KEPT_SECONDS = 1.0
+EXPIRED_GRANT_KEPT_SECONDS = 1.0
 """Least time for which a lapsed grant is kept, should the news of its use be late."""
 
 ROUNDING_SECONDS = 1e-9
@@ -34,25 +34,25 @@
         queue: PoolQueue,
         limiter: WorkspaceLimiter,
         wait_deadlines: WaitDeadlines,
-        on_room: Callable[[], None],
+        on_capacity_freed: Callable[[], None],
     ) -> None:
         self._grant_seconds = parameters.grant_seconds + parameters.grant_grace
         self._pool = pool
         self._queue = queue
         self._limiter = limiter
         self._wait_deadlines = wait_deadlines
-        self._on_room = on_room
+        self._on_capacity_freed = on_capacity_freed
         self._sequence = itertools.count()
         self.by_id: dict[str, Job] = {}
         self.waiting = 0
         self.parking = Parking(queue)
-        self.lapses = JobTimers()
+        self.grant_timers = JobTimers()
 
     def new(self, request: WaitingRequest, now: float) -> Job:
         """Return a request in its first state; it isn't kept yet."""
         return Job(request, next(self._sequence), now)
 
-    def keep(self, job: Job) -> None:
+    def track(self, job: Job) -> None:
         """Know a request from now on."""
         self.by_id[job.request.request_id] = job
 
@@ -66,8 +66,8 @@
         self.waiting += 1
         self._limiter.wait(job.workspace, 1, now)
         self._queue.push(job)
-        self._wait_deadlines.plan_look(job, now)
-        if self._wait_deadlines.plan_objective(job, now):
+        self._wait_deadlines.schedule_check(job, now)
+        if self._wait_deadlines.schedule_objective(job, now):
             self.demote(job)
 
     def demote(self, job: Job) -> None:
@@ -77,13 +77,13 @@
         of an upstream. In a burst that lasts for seconds all would otherwise be served
         late, one after the other.
         """
-        if job.late or not self.is_live(job) or not job.waiting:
+        if job.demoted or not self.is_live(job) or not job.waiting:
             return
         if job.state is JobState.PARKED:
-            job.late = True
+            job.demoted = True
             return
         self._queue.remove(job)
-        job.late = True
+        job.demoted = True
         self._queue.push(job)
 
     def grant(self, job: Job, pick: PickResult, now: float) -> None:
@@ -94,7 +94,7 @@
         upstream.rate_limiter.acquire(now)
         self._queue.remove(job)
         self._queue.charge(job)
-        self.leave_waiting(job, now)
+        self.stop_waiting(job, now)
         self._limiter.enter(job.workspace, now)
         job.state = JobState.GRANTED
         job.granted_at = now
@@ -111,13 +111,13 @@
                 request.prefix_tokens,
             )
         self._pool.refresh(upstream, now)
-        self.lapses.add(now + self._grant_seconds, job)
+        self.grant_timers.add(now + self._grant_seconds, job)
 
-    def run(self, job: Job, now: float) -> None:
+    def mark_running(self, job: Job, now: float) -> None:
         """Note that a grant is used, also one that counted as lapsed."""
         if job.state is JobState.GRANTED:
             job.state = JobState.RUNNING
-        elif job.state is JobState.LAPSED:
+        elif job.state is JobState.EXPIRED:
             # The grant was used in time, but the message about it came late.
             job.state = JobState.RUNNING
             self._limiter.enter(job.workspace, now)
@@ -129,12 +129,12 @@
         if job.state is JobState.QUEUED:
             self._queue.remove(job)
         if job.waiting:
-            self.leave_waiting(job, now)
-        elif job.state is not JobState.LAPSED:
+            self.stop_waiting(job, now)
+        elif job.state is not JobState.EXPIRED:
             self._limiter.leave(job.workspace)
             self._queue.uncap(job.workspace)
             self._pool.detach(job, now)
-            self._on_room()
+            self._on_capacity_freed()
         job.state = JobState.GONE
 
     def forget(self, job: Job, now: float) -> None:
@@ -150,15 +150,15 @@
         self._queue.remove(job)
         change()
         self._queue.push(job)
-        self._on_room()
+        self._on_capacity_freed()
 
-    def leave_waiting(self, job: Job, now: float) -> None:
+    def stop_waiting(self, job: Job, now: float) -> None:
         """Count a request as waiting no more."""
         self.waiting -= 1
         self._limiter.wait(job.workspace, -1, now)
         self._pool.unreserve(job)
 
-    def lapse(self, job: Job, now: float) -> None:
+    def expire_grant(self, job: Job, now: float) -> None:
         """Take back a grant that was not heard of in time.
 
         The entry host may have sent under it all the same, and its message may
@@ -169,11 +169,11 @@
         """
         if not self.is_live(job):
             return
-        if job.state is JobState.LAPSED:
+        if job.state is JobState.EXPIRED:
             del self.by_id[job.request.request_id]
             return
-        lapses_at = job.granted_at + self._grant_seconds
-        if job.state is not JobState.GRANTED or lapses_at > now + ROUNDING_SECONDS:
+        expires_at = job.granted_at + self._grant_seconds
+        if job.state is not JobState.GRANTED or expires_at > now + ROUNDING_SECONDS:
             return
         upstream = job.upstream
         self.withdraw(job, now)
@@ -181,6 +181,8 @@
             job.reregistered = False
             self.enqueue(job, now)
             return
-        job.state = JobState.LAPSED
+        job.state = JobState.EXPIRED
         job.target = upstream
-        self.lapses.add(max(job.request.deadline, now + LAPSED_KEPT_SECONDS), job)
+        self.grant_timers.add(
+            max(job.request.deadline, now + EXPIRED_GRANT_KEPT_SECONDS), job
+        )
--- a/bitterntiller/components/dispatch/parking.py
+++ b/bitterntiller/components/dispatch/parking.py
@@ -26,7 +26,7 @@
         """Take a request out of the queue until its upstream has room."""
         self._queue.remove(job)
         job.state = JobState.PARKED
-        job.parked += 1
+        job.park_count += 1
         parked = self._jobs_by_upstream.setdefault(upstream or NO_UPSTREAM, {})
         parked[job.request.request_id] = job
         self._timers.add(now + PARK_SECONDS, job)
@@ -52,9 +52,9 @@
                 self._unpark(job)
         self._jobs_by_upstream.clear()
 
-    def next(self) -> float:
+    def next_due(self) -> float:
         """Return when the next request goes back by time."""
-        return self._timers.next()
+        return self._timers.next_due()
 
     def prune(self, live: int, is_live: Callable[[Job], bool]) -> None:
         """Forget the times of requests that have ended."""
--- a/bitterntiller/components/dispatch/picker.py
+++ b/bitterntiller/components/dispatch/picker.py
@@ -21,7 +21,7 @@
 from bitterntiller.components.dispatch.speed import LONG, SHORT
 from bitterntiller.components.dispatch.upstreams import Upstream, View
 
-NEVER = float("inf")
+INFINITE_SECONDS = float("inf")
 
 
 class PickStatus(Enum):
@@ -33,7 +33,7 @@
 
     PICKED = "picked"
     BLOCKED = "blocked"
-    WAIT = "wait"
+    PARK = "park"
     LATE = "late"
 
 
@@ -76,17 +76,17 @@
         parameters = self._parameters
         budget = job.request.deadline - now
         best: PickResult | None = None
-        best_score = NEVER
-        open_for_it = False
+        best_score = INFINITE_SECONDS
+        any_accepts = False
         candidates = self._candidates(job, view)
-        long_blocked = job.kind == LONG and self._long_prefills(view)
+        long_blocked = job.kind == LONG and self._too_many_long_prefills(view)
         for upstream in candidates:
-            if long_blocked or not self._open(job, upstream, now):
+            if long_blocked or not self._accepts(job, upstream, now):
                 continue
-            open_for_it = True
+            any_accepts = True
             cached, _, total = self._estimate(job, upstream, now)
             margin = 1.0 + parameters.margin * upstream.speed.deviation
-            if total * margin > budget and not job.guessed:
+            if total * margin > budget and not job.unmeasured:
                 continue
             score = self._score(job, upstream, cached, total)
             if score < best_score:
@@ -94,58 +94,58 @@
                 best = PickResult(PickStatus.PICKED, upstream, cached, total)
         if best is not None:
             return best
-        return self._why_none(job, view, candidates, open_for_it, now)
+        return self._why_not_picked(job, view, candidates, any_accepts, now)
 
-    def _why_none(
+    def _why_not_picked(
         self,
         job: Job,
         view: View,
         candidates: list[Upstream],
-        open_for_it: bool,
+        any_accepts: bool,
         now: float,
     ) -> PickResult:
         """Tell a request without an upstream what there is to wait for."""
         budget = job.request.deadline - now
         fastest: Upstream | None = None
-        fastest_seconds = NEVER
+        fastest_seconds = INFINITE_SECONDS
         fastest_cached = 0
         for upstream in candidates:
             cached, alone, _ = self._estimate(job, upstream, now)
             alone += upstream.rate_limiter.wait(now)
-            if alone < fastest_seconds and upstream.health.allowed(0, now):
+            if alone < fastest_seconds and upstream.health.allows_request(0, now):
                 fastest, fastest_seconds = upstream, alone
                 fastest_cached = cached
-        late = fastest_seconds > budget and not job.guessed
+        late = fastest_seconds > budget and not job.unmeasured
         if fastest is not None and late:
             all_seen = len(view.members) <= SCAN_ALL_UP_TO
-            if all_seen or self.best_case(job, view, now) > budget:
+            if all_seen or self.min_service_seconds(job, view, now) > budget:
                 return self.probe(job, view, now) or PickResult(PickStatus.LATE)
-        if not open_for_it:
+        if not any_accepts:
             return PickResult(PickStatus.BLOCKED, fastest)
-        if fastest is not None and self._idle_for(job, fastest, now):
+        if fastest is not None and self._accepts_when_idle(job, fastest, now):
             return PickResult(
                 PickStatus.PICKED, fastest, fastest_cached, fastest_seconds
             )
-        return PickResult(PickStatus.WAIT, fastest)
+        return PickResult(PickStatus.PARK, fastest)
 
-    def _idle_for(self, job: Job, upstream: Upstream, now: float) -> bool:
+    def _accepts_when_idle(self, job: Job, upstream: Upstream, now: float) -> bool:
         """Tell whether an upstream has nothing to do and may take a request.
 
         What fits in time only without the margin is not worth a place beside
         other work. At an idle upstream it takes nobody's, and no waiting would
         ever make it fit: it would be shed beside an engine that does nothing.
         """
-        return not upstream.ledger.in_flight and self._open(job, upstream, now)
+        return not upstream.ledger.in_flight and self._accepts(job, upstream, now)
 
     def probe(self, job: Job, view: View, now: float) -> PickResult | None:
         """Choose an idle upstream of doubtful speed for a request that seems late."""
         for upstream in self._candidates(job, view):
-            if upstream.in_doubt(now) and self._open(job, upstream, now):
+            if upstream.in_doubt(now) and self._accepts(job, upstream, now):
                 cached, alone, _ = self._estimate(job, upstream, now)
                 return PickResult(PickStatus.PICKED, upstream, cached, alone)
         return None
 
-    def best_case(self, job: Job, view: View, now: float) -> float:
+    def min_service_seconds(self, job: Job, view: View, now: float) -> float:
         """Return a lower bound of the seconds of service if nothing else waited.
 
         It joins the best prefill and the best decoding of any upstream, found
@@ -154,7 +154,7 @@
         upstreams drawn at random would not do: a request would be refused as
         late because its draw missed the upstream that is in time.
         """
-        if job.guessed or not len(view.members):
+        if job.unmeasured or not len(view.members):
             return 0.0
         if now - view.best_at > HOUSEKEEPING_SECONDS:
             self._find_best(view, now)
@@ -162,9 +162,9 @@
         seconds = view.best_prefill * tokens + view.best_decode * job.expected_output
         return seconds / 1000
 
-    def first_case(self, job: Job, view: View, now: float) -> float:
+    def min_first_output_seconds(self, job: Job, view: View, now: float) -> float:
         """Return a lower bound of the seconds to the first output, as best_case."""
-        if job.guessed or not len(view.members):
+        if job.unmeasured or not len(view.members):
             return 0.0
         if now - view.best_at > HOUSEKEEPING_SECONDS:
             self._find_best(view, now)
@@ -226,10 +226,10 @@
         best = speed.best_decode_seconds(job.expected_output)
         decode = speed.decode_seconds(job.expected_output, ledger.in_flight + 1)
         decode += optimism * (best - decode)
-        total = prefill + ledger.backlog(speed, now) + decode
+        total = prefill + ledger.prefill_backlog(speed, now) + decode
         return cached, prefill + min(best, decode), total
 
-    def _open(self, job: Job, upstream: Upstream, now: float) -> bool:
+    def _accepts(self, job: Job, upstream: Upstream, now: float) -> bool:
         """Tell whether an upstream can take this request now."""
         if not upstream.free:
             return False
@@ -240,12 +240,14 @@
             allowed = max(1, int(self._parameters.long_slots * slots))
             if upstream.ledger.long_jobs >= allowed:
                 return False
-        part = self._part(job)
-        if not upstream.has_room(part) or not upstream.fits(job.kv, part):
+        part = self._usable_fraction(job)
+        if not upstream.has_room(part) or not upstream.fits(job.kv_tokens, part):
             return False
         if not self._isolation.allows(job.request, upstream.ledger, now):
             return False
-        if self._parameters.guard and not self._spares(job, upstream, now):
+        if self._parameters.guard and not self._keeps_running_in_time(
+            job, upstream, now
+        ):
             return False
         # The mark is set at events; a pause or the silence of an upstream may
         # have begun since, and a grant would then be sent to a dead address.
@@ -254,7 +256,7 @@
             return False
         return True
 
-    def _part(self, job: Job) -> float:
+    def _usable_fraction(self, job: Job) -> float:
         """Return the part of an upstream that a request's tier may fill.
 
         Running work is never displaced. If the lowest tier could fill every
@@ -267,7 +269,7 @@
         above = self._pool.tiers_above(job.rank)
         return 1.0 - self._parameters.headroom * above
 
-    def _spares(self, job: Job, upstream: Upstream, now: float) -> bool:
+    def _keeps_running_in_time(self, job: Job, upstream: Upstream, now: float) -> bool:
         """Tell whether running work would still end in time beside this request.
 
         A request slows the others down by its place in the batch and by its
@@ -276,16 +278,19 @@
         """
         ledger = upstream.ledger
         speed = upstream.speed
-        needs = ledger.needs(speed.best_seconds_per_token(), now)
+        needs = ledger.tightest_needs(speed.best_seconds_per_token(), now)
         if not needs:
             return True
-        pace = speed.seconds_per_token(ledger.in_flight + 1)
+        seconds_per_token = speed.seconds_per_token(ledger.in_flight + 1)
         guard = self._parameters.guard
         guard_higher = self._parameters.guard_higher
         tokens = job.request.prompt_tokens
         stolen = 0.5 * speed.prefill_seconds(tokens, job.kind)
         return all(
-            pace * need.tokens * (guard if rank == job.rank else guard_higher) + stolen
+            seconds_per_token
+            * need.tokens
+            * (guard if rank == job.rank else guard_higher)
+            + stolen
             <= need.seconds
             for rank, need in needs.items()
             if rank <= job.rank
@@ -297,7 +302,7 @@
         prefill = upstream.speed.prefill_seconds(tokens, job.kind)
         return total + self._parameters.prefix_weight * prefill
 
-    def _long_prefills(self, view: View) -> bool:
+    def _too_many_long_prefills(self, view: View) -> bool:
         """Tell whether enough upstreams are busy with long prefills.
 
         An engine does one prefill after the other. If all were busy with long
--- a/bitterntiller/components/dispatch/pool.py
+++ b/bitterntiller/components/dispatch/pool.py
@@ -20,8 +20,8 @@
 from bitterntiller.components.rollouts.models import ANY_VERSION, VersionRules
 
 RESERVE_SECONDS = 1.0
-PACE_GAIN = 0.02
-MIN_PACE = 0.02
+WORK_RATE_GAIN = 0.02
+MIN_WORK_RATE = 0.02
 OVERDUE_FACTOR = 2.0
 OVERDUE_SECONDS = 0.3
 STALL_SECONDS = 2.0
@@ -43,8 +43,8 @@
         self.index = PrefixIndex()
         self.views = Views()
         self.upstreams_by_name: dict[str, Upstream] = {}
-        self.pace = 1.0
-        self.mean_seconds = 1.0
+        self.work_rate = 1.0
+        self.mean_service_seconds = 1.0
         self.slots = 0
         self.in_flight_by_rank: Counter[int] = Counter()
         self.in_flight_by_fingerprint: Counter[int] = Counter()
@@ -53,22 +53,22 @@
         self._ranks: set[int] = set()
         self._above_by_rank: dict[int, float] = {}
         self._parameters = parameters
-        self._thaws: list[tuple[float, str]] = []
-        self._thaw_by_name: dict[str, float] = {}
+        self._refreshes: list[tuple[float, str]] = []
+        self._refresh_at_by_name: dict[str, float] = {}
         self._slots_by_name: dict[str, int] = {}
         self._orphans_by_name: dict[str, list[Job]] = {}
         self._deferred_limits_by_upstream: dict[str, RateLimitUpdate] = {}
-        self.versions = ANY_VERSION
+        self.version_rules = ANY_VERSION
 
     def set_versions(self, rules: VersionRules, now: float) -> None:
         """Have only the versions serve that may; the others end what they run."""
-        self.versions = rules
+        self.version_rules = rules
         for upstream in self.upstreams_by_name.values():
             self.refresh(upstream, now)
 
-    def candidates(self, now: float) -> list[Upstream]:
+    def candidate_upstreams(self, now: float) -> list[Upstream]:
         """Return the usable upstreams of the version that is judged, by name."""
-        version = self.versions.candidate
+        version = self.version_rules.candidate
         if not version:
             return []
         found = [
@@ -91,7 +91,7 @@
                 rank: float(above) for above, rank in enumerate(sorted(self._ranks))
             }
 
-    def short_ranks(self, share: float) -> list[int]:
+    def ranks_below_share(self, share: float) -> list[int]:
         """Return the tiers that hold less than a share of the slots, lowest first.
 
         The most important tier is none of them.
@@ -140,7 +140,7 @@
         upstream.state = state
         upstream.heard_at = now
         if state.load is not None:
-            upstream.ledger.fold(state.load, now)
+            upstream.ledger.apply_load_report(state.load, now)
         upstream.prefixes.take_changes(state.cache_changes, now)
         self.refresh(upstream, now)
         return True
@@ -196,7 +196,7 @@
             return
         if now - job.blocked_since < RESERVE_SECONDS or not upstream.free:
             return
-        if upstream.reserved_for is None and not upstream.fits(job.kv):
+        if upstream.reserved_for is None and not upstream.fits(job.kv_tokens):
             upstream.reserved_for = job.request.request_id
             job.target = upstream
 
@@ -210,13 +210,13 @@
 
     def refresh(self, upstream: Upstream, now: float) -> None:
         """Find out anew whether an upstream is there and free."""
-        member = upstream.usable(now) and self.versions.may_serve(upstream.version)
+        member = upstream.usable(now) and self.version_rules.may_serve(upstream.version)
         self._count_slots(upstream, member)
         free = member and upstream.can_take(now)
         if free and not upstream.free:
             self.freed.append(upstream)
         if member != upstream.member:
-            change = _change_of_use(upstream, member)
+            change = _membership_change(upstream, member)
             if not member and upstream.usable(now):
                 change = UpstreamChange.WITHHELD
             self._note_change(upstream, change, now)
@@ -225,7 +225,7 @@
             upstream.member = member
             self.views.update(upstream, member)
         if member and not free and upstream.room(now) >= 1:
-            self._plan_thaw(upstream, now)
+            self._schedule_refresh(upstream, now)
 
     def update_rate_limit(self, update: RateLimitUpdate, now: float) -> None:
         """Take note of the limit that an answer of an upstream named."""
@@ -252,20 +252,20 @@
         if len(limits) > MAX_DEFERRED_LIMITS:
             del limits[next(iter(limits))]
 
-    def thaw(self, now: float) -> None:
+    def refresh_due(self, now: float) -> None:
         """Refresh the upstreams that time alone may have set free."""
-        while self._thaws and self._thaws[0][0] <= now:
-            when, name = heapq.heappop(self._thaws)
-            if self._thaw_by_name.get(name) != when:
+        while self._refreshes and self._refreshes[0][0] <= now:
+            when, name = heapq.heappop(self._refreshes)
+            if self._refresh_at_by_name.get(name) != when:
                 continue
-            del self._thaw_by_name[name]
+            del self._refresh_at_by_name[name]
             upstream = self.upstreams_by_name.get(name)
             if upstream is not None:
                 self.refresh(upstream, now)
 
-    def next_thaw(self) -> float:
+    def next_refresh(self) -> float:
         """Return when thaw() is due."""
-        return self._thaws[0][0] if self._thaws else float("inf")
+        return self._refreshes[0][0] if self._refreshes else float("inf")
 
     def housekeep(self, now: float) -> None:
         """Look at every upstream: silence, and work that is overdue."""
@@ -277,36 +277,40 @@
                 del self.upstreams_by_name[name]
                 self._note_change(upstream, UpstreamChange.FORGOTTEN, now)
                 continue
-            self._watch(upstream, now)
+            self._learn_from_overdue(upstream, now)
             self.refresh(upstream, now)
 
     def note_failure(
         self, upstream: Upstream, now: float, certain: bool = False
     ) -> None:
         """Note that an upstream failed; see Health.failure."""
-        if upstream.health.failure(now, certain):
+        if upstream.health.record_failure(now, certain):
             self._note_change(upstream, UpstreamChange.SICK, now)
 
     def note_success(self, upstream: Upstream, now: float) -> None:
         """Note a good answer of an upstream."""
         was_sick = upstream.health.unhealthy
-        upstream.health.success()
+        upstream.health.record_success()
         if was_sick:
             self._note_change(upstream, UpstreamChange.WELL, now)
 
-    def note_pace(self, work: float, seconds: float) -> None:
+    def note_service_time(self, work: float, seconds: float) -> None:
         """Learn how fast work gets done in one place of a batch."""
         if seconds > 0:
-            self.pace += PACE_GAIN * (min(work / seconds, 4.0) - self.pace)
-            self.pace = max(self.pace, MIN_PACE)
-            self.mean_seconds += PACE_GAIN * (seconds - self.mean_seconds)
+            self.work_rate += WORK_RATE_GAIN * (
+                min(work / seconds, 4.0) - self.work_rate
+            )
+            self.work_rate = max(self.work_rate, MIN_WORK_RATE)
+            self.mean_service_seconds += WORK_RATE_GAIN * (
+                seconds - self.mean_service_seconds
+            )
 
     def _note_change(
         self, upstream: Upstream, change: UpstreamChange, now: float
     ) -> None:
         self.events.note(upstream.event(change, now))
 
-    def _watch(self, upstream: Upstream, now: float) -> None:
+    def _learn_from_overdue(self, upstream: Upstream, now: float) -> None:
         """Learn from work that should have been done by now.
 
         An engine that slows down tells nothing until its work ends, seconds
@@ -318,7 +322,7 @@
         if ledger.prefilling_by_id:
             job = next(iter(ledger.prefilling_by_id.values()))
             expected = upstream.speed.prefill_seconds(job.prefill, job.kind)
-            elapsed = now - ledger.head_began
+            elapsed = now - ledger.head_started_at
             if elapsed > OVERDUE_FACTOR * expected + OVERDUE_SECONDS:
                 upstream.speed.learn_first(job.kind, expected, elapsed)
         decoding = ledger.in_flight - len(ledger.prefilling_by_id)
@@ -332,24 +336,24 @@
 
         A new owner judges what it takes over by it, before its first housekeeping.
         """
-        slots = upstream.slots_in_use(self.mean_seconds) if member else 0
+        slots = upstream.slots_in_use(self.mean_service_seconds) if member else 0
         self.slots += slots - self._slots_by_name.get(upstream.name, 0)
         if slots:
             self._slots_by_name[upstream.name] = slots
         else:
             self._slots_by_name.pop(upstream.name, None)
 
-    def _plan_thaw(self, upstream: Upstream, now: float) -> None:
+    def _schedule_refresh(self, upstream: Upstream, now: float) -> None:
         when = now + max(upstream.prefill_wait(now), upstream.rate_limiter.wait(now))
         if upstream.health.unhealthy:
             when = max(when, upstream.health.paused_until)
         if when <= now:
             return
-        planned = self._thaw_by_name.get(upstream.name)
+        planned = self._refresh_at_by_name.get(upstream.name)
         if planned is not None and planned <= when:
             return
-        self._thaw_by_name[upstream.name] = when
-        heapq.heappush(self._thaws, (when, upstream.name))
+        self._refresh_at_by_name[upstream.name] = when
+        heapq.heappush(self._refreshes, (when, upstream.name))
 
     def _forget_orphan(self, job: Job) -> None:
         for jobs in self._orphans_by_name.values():
@@ -358,7 +362,7 @@
                 return
 
 
-def _change_of_use(upstream: Upstream, member: bool) -> UpstreamChange:
+def _membership_change(upstream: Upstream, member: bool) -> UpstreamChange:
     if member:
         return UpstreamChange.USABLE
     return UpstreamChange.LEAVING if upstream.state.leaving else UpstreamChange.SILENT
--- a/bitterntiller/components/dispatch/queue.py
+++ b/bitterntiller/components/dispatch/queue.py
@@ -9,11 +9,11 @@
 from bitterntiller.components.dispatch.jobs import Job
 from bitterntiller.components.dispatch.limits import WorkspaceLimiter
 
-EVERYBODY = ""
+SHARED_FLOW = ""
 """The workspace of all requests when sharing is turned off."""
 
 
-def overlap(key: tuple, other: tuple) -> bool:
+def groups_overlap(key: tuple, other: tuple) -> bool:
     """Tell whether requests of two groups may go to the same upstream."""
     if key[0] is None or other[0] is None:
         return True
@@ -23,13 +23,13 @@
 class Flow:
     """The waiting requests of one workspace in one group, in their order."""
 
-    __slots__ = ("jobs", "listed", "work", "workspace")
+    __slots__ = ("in_heap", "jobs", "work", "workspace")
 
     def __init__(self, workspace: str) -> None:
         self.workspace = workspace
         self.jobs: SortedList = SortedList()
         self.work = 0.0
-        self.listed = False
+        self.in_heap = False
 
     def add(self, job: Job) -> None:
         """Put a request into its place."""
@@ -81,53 +81,53 @@
         self._count_by_workspace: dict[str, int] = {}
         self._fair = fair
         self._limiter = limiter
-        self._entries = itertools.count()
-        self._time = 0.0
-        self._time_by_workspace: dict[str, float] = {}
+        self._entry_numbers = itertools.count()
+        self._virtual_time = 0.0
+        self._virtual_time_by_workspace: dict[str, float] = {}
         self._capped_by_workspace: dict[str, list[tuple[Group, Flow]]] = {}
         self._share_by_workspace: dict[str, float] = {}
 
     @property
-    def behind(self) -> bool:
+    def holds_demoted(self) -> bool:
         """Tell whether it holds the requests that were put behind a tier."""
         return self.rank != int(self.rank)
 
     def push(self, job: Job) -> None:
         """Take a request in."""
-        group = self.groups_by_key.get(job.group)
+        group = self.groups_by_key.get(job.group_key)
         if group is None:
-            group = self.groups_by_key[job.group] = Group(job.group)
-        name = job.workspace if self._fair else EVERYBODY
+            group = self.groups_by_key[job.group_key] = Group(job.group_key)
+        name = job.workspace if self._fair else SHARED_FLOW
         flow = group.flows_by_workspace.get(name)
         if flow is None:
             flow = group.flows_by_workspace[name] = Flow(name)
         flow.add(job)
         group.work += job.work
         self._count(job, name, 1)
-        if not flow.listed:
-            self._list(group, flow)
+        if not flow.in_heap:
+            self._push_flow(group, flow)
 
     def remove(self, job: Job) -> None:
         """Take a request out."""
-        name = job.workspace if self._fair else EVERYBODY
-        group = self.groups_by_key[job.group]
+        name = job.workspace if self._fair else SHARED_FLOW
+        group = self.groups_by_key[job.group_key]
         flow = group.flows_by_workspace[name]
         flow.remove(job)
         group.work -= job.work
         if not flow.jobs:
             del group.flows_by_workspace[name]
             if not group.flows_by_workspace:
-                del self.groups_by_key[job.group]
+                del self.groups_by_key[job.group_key]
         self._count(job, name, -1)
 
     def charge(self, job: Job) -> None:
         """Let a workspace pay for a request that was granted."""
-        name = job.workspace if self._fair else EVERYBODY
-        begun = self._time_by_workspace.get(name, self._time)
-        self._time = max(self._time, begun)
+        name = job.workspace if self._fair else SHARED_FLOW
+        begun = self._virtual_time_by_workspace.get(name, self._virtual_time)
+        self._virtual_time = max(self._virtual_time, begun)
         spent = job.work / self._limiter.share(name)
         if name in self._count_by_workspace:
-            self._time_by_workspace[name] = begun + spent
+            self._virtual_time_by_workspace[name] = begun + spent
 
     def head(self, blocked: Container[tuple]) -> Job | None:
         """Return the next request of the groups that aren't blocked."""
@@ -140,7 +140,9 @@
             if flow is None:
                 continue
             job = flow.first()
-            time = self._time_by_workspace.get(flow.workspace, self._time)
+            time = self._virtual_time_by_workspace.get(
+                flow.workspace, self._virtual_time
+            )
             if best is None or (time, job.order_key) < best_key:
                 best = job
                 best_key = (time, job.order_key)
@@ -149,17 +151,17 @@
     def uncap(self, workspace: str) -> None:
         """Let a workspace that was at its concurrency take part again."""
         for group, flow in self._capped_by_workspace.pop(workspace, ()):
-            flow.listed = False
+            flow.in_heap = False
             if flow.jobs:
-                self._list(group, flow)
+                self._push_flow(group, flow)
 
     def work_ahead(self, job: Job) -> float:
         """Return the work of the job's own workspace that goes before it."""
-        name = job.workspace if self._fair else EVERYBODY
+        name = job.workspace if self._fair else SHARED_FLOW
         ahead = 0.0
         for group in self.groups_by_key.values():
             flow = group.flows_by_workspace.get(name)
-            if flow is None or not overlap(group.key, job.group):
+            if flow is None or not groups_overlap(group.key, job.group_key):
                 continue
             place = flow.jobs.bisect_left((job.order_key, job.sequence))
             ahead += flow.work * place / len(flow.jobs)
@@ -170,7 +172,7 @@
         if key[0] is None:
             return self.work
         groups = self.groups_by_key.values()
-        return sum(group.work for group in groups if overlap(group.key, key))
+        return sum(group.work for group in groups if groups_overlap(group.key, key))
 
     def uncap_all(self) -> None:
         """Let all workspaces take part again."""
@@ -182,10 +184,10 @@
         for group in self.groups_by_key.values():
             yield from group.flows_by_workspace.values()
 
-    def _list(self, group: Group, flow: Flow) -> None:
-        time = self._time_by_workspace.get(flow.workspace, self._time)
-        heapq.heappush(group.heap, (time, next(self._entries), flow))
-        flow.listed = True
+    def _push_flow(self, group: Group, flow: Flow) -> None:
+        time = self._virtual_time_by_workspace.get(flow.workspace, self._virtual_time)
+        heapq.heappush(group.heap, (time, next(self._entry_numbers), flow))
+        flow.in_heap = True
 
     def _next_flow(self, group: Group) -> Flow | None:
         """Return the flow that is furthest behind, mending stale entries."""
@@ -195,9 +197,9 @@
             name = flow.workspace
             if not flow.jobs:
                 heapq.heappop(heap)
-                flow.listed = False
+                flow.in_heap = False
                 continue
-            present = self._time_by_workspace.get(name, self._time)
+            present = self._virtual_time_by_workspace.get(name, self._virtual_time)
             if present > time:
                 heapq.heapreplace(heap, (present, entry, flow))
                 continue
@@ -217,15 +219,15 @@
             del self._count_by_workspace[name]
             del self.work_by_workspace[name]
             self.shares -= self._share_by_workspace.pop(name)
-            behind = self._time_by_workspace.get(name, 0.0)
-            if behind <= self._time:
-                self._time_by_workspace.pop(name, None)
+            behind = self._virtual_time_by_workspace.get(name, 0.0)
+            if behind <= self._virtual_time:
+                self._virtual_time_by_workspace.pop(name, None)
             return
         if by > 0 and count == 1:
             share = self._share_by_workspace[name] = self._limiter.share(name)
             self.shares += share
-            known = self._time_by_workspace.get(name, self._time)
-            self._time_by_workspace[name] = max(known, self._time)
+            known = self._virtual_time_by_workspace.get(name, self._virtual_time)
+            self._virtual_time_by_workspace[name] = max(known, self._virtual_time)
         self._count_by_workspace[name] = count
         work = self.work_by_workspace.get(name, 0.0)
         self.work_by_workspace[name] = work + by * job.work
@@ -284,7 +286,7 @@
         for tier in self.tiers_by_rank.values():
             tier.uncap_all()
 
-    def lowest(self) -> TierQueue | None:
+    def lowest_waiting(self) -> TierQueue | None:
         """Return the least important tier that has requests waiting."""
         for tier in reversed(self.tiers_by_rank.values()):
             if tier.count:
--- a/bitterntiller/components/dispatch/refusals.py
+++ b/bitterntiller/components/dispatch/refusals.py
@@ -27,7 +27,7 @@
         self._limiter = limiter
         self._wait_deadlines = wait_deadlines
 
-    def at_entry(self, job: Job, now: float) -> Refused | None:
+    def check_arrival(self, job: Job, now: float) -> Refused | None:
         """Refuse what is over its workspace's limits or late already."""
         workspace = job.workspace
         wait = self._limiter.take_rate(workspace, now)
@@ -39,22 +39,23 @@
             if waiting >= max(1, limit or 0):
                 retry = self._wait_estimator.retry_after(job.rank, now)
                 return self._refusal(job, Reason.CONCURRENCY_LIMIT, retry, now)
-        if now + job.best_case >= job.request.deadline and self._wait_deadlines.is_late(
-            job, now
+        if (
+            now + job.min_service_seconds >= job.request.deadline
+            and self._wait_deadlines.is_too_late(job, now)
         ):
-            return self.of(job, Reason.TOO_LATE, now)
+            return self.refuse(job, Reason.TOO_LATE, now)
         return None
 
-    def give_up(self, job: Job, reason: Reason, now: float) -> Refused:
+    def drop(self, job: Job, reason: Reason, now: float) -> Refused:
         """Refuse a request that was kept, and forget it."""
         self._jobs.forget(job, now)
-        return self.of(job, reason, now)
+        return self.refuse(job, reason, now)
 
     def quarantined(self, job: Job, quarantined_for: float, now: float) -> Refused:
         """Refuse a request under which too many upstreams have ended."""
         return self._refusal(job, Reason.CRASHES_UPSTREAMS, quarantined_for, now)
 
-    def of(self, job: Job, reason: Reason, now: float) -> Refused:
+    def refuse(self, job: Job, reason: Reason, now: float) -> Refused:
         """Refuse a request until its tier has drained.
 
         Without any upstream nothing drains, and no measured rate would tell when to
@@ -78,12 +79,12 @@
             reason,
             retry_after,
             RefusalBasis(
-                tokens=job.kv,
+                tokens=job.kv_tokens,
                 upstreams=usable,
                 waiting=self._jobs.waiting,
                 waited=now - request.arrived,
                 expected_wait=job.expected_wait,
-                late=job.late,
-                parked=job.parked,
+                late=job.demoted,
+                parked=job.park_count,
             ),
         )
--- a/bitterntiller/components/dispatch/scheduler.py
+++ b/bitterntiller/components/dispatch/scheduler.py
@@ -45,7 +45,7 @@
 from bitterntiller.core.interfaces import CrashView
 from bitterntiller.core.outcomes import Reason
 
-_REASONS_TO_GO_ELSEWHERE = frozenset(
+_REASONS_TO_TRY_ANOTHER = frozenset(
     {
         REASON_NOT_ADMITTED,
         REASON_REFUSED_CONNECTION,
@@ -55,7 +55,7 @@
         REASON_VERSION_WITHDRAWN,
     }
 )
-_REASONS_OF_NO_FAULT = frozenset({REASON_UPSTREAM_LEFT, REASON_VERSION_WITHDRAWN})
+_REASONS_WITHOUT_FAULT = frozenset({REASON_UPSTREAM_LEFT, REASON_VERSION_WITHDRAWN})
 
 
 class PoolScheduler:
@@ -136,7 +136,7 @@
         self, request: WaitingRequest, now: float, decisions: list[Decision]
     ) -> None:
         known = self._jobs.by_id.get(request.request_id)
-        if known is not None and known.state is not JobState.LAPSED:
+        if known is not None and known.state is not JobState.EXPIRED:
             # The link to the entry host broke and the host registers anew. If
             # the grant was lost with the link, the request would be forgotten
             # when the grant lapses; the mark brings it back into the queue then.
@@ -149,16 +149,18 @@
         if quarantined_for:
             decisions.append(self._refusals.quarantined(job, quarantined_for, now))
             return
-        self._size(job, now)
-        job.best_case = self._picker.best_case(job, self._pool.view(job), now)
-        refused = self._refusals.at_entry(job, now)
+        self._estimate_size(job, now)
+        job.min_service_seconds = self._picker.min_service_seconds(
+            job, self._pool.view(job), now
+        )
+        refused = self._refusals.check_arrival(job, now)
         if refused is not None:
             decisions.append(refused)
             return
         self._make_room(job, now, decisions)
         if decisions and decisions[-1].request_id == request.request_id:
             return
-        self._jobs.keep(job)
+        self._jobs.track(job)
         self._wait_estimator.note_arrival(job, now)
         self._jobs.enqueue(job, now)
 
@@ -176,7 +178,7 @@
         """Note that the entry host began to send under its grant."""
         job = self._jobs.by_id.get(request_id)
         if job is not None:
-            self._jobs.run(job, now)
+            self._jobs.mark_running(job, now)
         return []
 
     def returned(
@@ -188,15 +190,15 @@
             return []
         decisions: list[Decision] = []
         upstream = job.upstream
-        if upstream is not None and reason in _REASONS_TO_GO_ELSEWHERE:
-            if reason not in _REASONS_OF_NO_FAULT:
+        if upstream is not None and reason in _REASONS_TO_TRY_ANOTHER:
+            if reason not in _REASONS_WITHOUT_FAULT:
                 self._estimator.not_run(upstream, reason, now)
-            job.returns += 1
+            job.return_count += 1
             tried = (*job.request.tried, upstream.name)
             job.request = job.request._replace(tried=tried)
         self._jobs.withdraw(job, now)
         if waiting:
-            self._take_back(job, now, decisions)
+            self._requeue(job, now, decisions)
         self._granting.decide(now, decisions)
         return decisions
 
@@ -211,7 +213,7 @@
         job = self._jobs.by_id.get(request_id)
         if job is None:
             return []
-        self._jobs.run(job, now)
+        self._jobs.mark_running(job, now)
         self._estimator.progress(job, output_tokens, now, first)
         if job.upstream is None:
             return []
@@ -240,13 +242,13 @@
         if known is not None:
             self._jobs.withdraw(known, now)
         job = self._jobs.new(request, now)
-        self._size(job, now)
+        self._estimate_size(job, now)
         job.state = JobState.RUNNING
         job.adopted = True
         job.tokens_seen = output_tokens
         job.tokens_at = job.granted_at = now
         job.prefill = 0 if output_tokens else request.prompt_tokens
-        self._jobs.keep(job)
+        self._jobs.track(job)
         self._limiter.enter(job.workspace, now)
         self._pool.adopt(job, upstream, now)
         return []
@@ -288,7 +290,7 @@
                 self._jobs.forget(job, now)
                 decisions.append(self._refusals.quarantined(job, quarantined_for, now))
                 continue
-            self._jobs.regroup(job, lambda job=job: self._group(job, now))
+            self._jobs.regroup(job, lambda job=job: self._set_group_key(job, now))
         self._granting.decide(now, decisions)
         return decisions
 
@@ -305,14 +307,14 @@
     def tick(self, now: float) -> list[Decision]:
         """Do what time alone brings: lateness, silence, lapsed grants."""
         decisions: list[Decision] = []
-        for job in self._jobs.lapses.due(now):
-            self._jobs.lapse(job, now)
+        for job in self._jobs.grant_timers.due(now):
+            self._jobs.expire_grant(job, now)
         self._jobs.parking.unpark_due(now)
         for job in self._wait_deadlines.due_objectives(now):
             self._jobs.demote(job)
-        for job in self._wait_deadlines.due_looks(now):
-            self._check_lateness(job, now, decisions)
-        self._pool.thaw(now)
+        for job in self._wait_deadlines.due_checks(now):
+            self._refuse_if_too_late(job, now, decisions)
+        self._pool.refresh_due(now)
         if now >= self._housekeeping_at:
             self._housekeep(now, decisions)
         self._granting.decide(now, decisions)
@@ -325,10 +327,10 @@
             housekeeping = max(housekeeping, now + IDLE_WAKE_SECONDS)
         return min(
             housekeeping,
-            self._jobs.lapses.next(),
-            self._jobs.parking.next(),
-            self._wait_deadlines.next(),
-            self._pool.next_thaw(),
+            self._jobs.grant_timers.next_due(),
+            self._jobs.parking.next_due(),
+            self._wait_deadlines.next_due(),
+            self._pool.next_refresh(),
         )
 
     def take_events(self) -> list[UpstreamEvent]:
@@ -341,16 +343,16 @@
             self._pool, self._queue, self._wait_estimator, self._jobs.waiting, now
         )
 
-    def _size(self, job: Job, now: float) -> None:
+    def _estimate_size(self, job: Job, now: float) -> None:
         self._size_estimator.estimate(job)
         self._pool.note_tier(job.rank)
         job.order_key = self._ordering.key(job)
-        self._group(job, now)
+        self._set_group_key(job, now)
 
-    def _group(self, job: Job, now: float) -> None:
+    def _set_group_key(self, job: Job, now: float) -> None:
         """Put a request among those that may go to the same upstreams."""
         request = job.request
-        job.group = (
+        job.group_key = (
             request.upstream_names,
             frozenset(request.tried),
             job.kind,
@@ -365,59 +367,65 @@
         if self._jobs.waiting >= self._parameters.max_waiting:
             reason = Reason.QUEUE_FULL
         else:
-            if not self._shedder.overloaded(job, job.best_case, now):
+            if not self._shedder.overloaded(job, job.min_service_seconds, now):
                 return
         self._jobs.parking.unpark_all()
         victim = self._shedder.victim(job)
         if victim is job:
-            decisions.append(self._refusals.of(job, reason, now))
+            decisions.append(self._refusals.refuse(job, reason, now))
             return
-        decisions.append(self._refusals.give_up(victim, reason, now))
+        decisions.append(self._refusals.drop(victim, reason, now))
 
-    def _take_back(self, job: Job, now: float, decisions: list[Decision]) -> None:
+    def _requeue(self, job: Job, now: float, decisions: list[Decision]) -> None:
         """Put a request whose grant was not used back into its place."""
         members = self._pool.view(job).members
         if members and all(name in job.request.tried for name in members):
             # All have turned it down. Its deadline may allow another round,
             # but not without end: each try costs the entry host a connection.
             job.request = job.request._replace(tried=())
-            if job.returns >= MAX_RETURNS:
-                decisions.append(self._refusals.of(job, Reason.NOT_ADMITTED, now))
+            if job.return_count >= MAX_RETURNS:
+                decisions.append(self._refusals.refuse(job, Reason.NOT_ADMITTED, now))
                 return
         quarantined_for = self._isolation.quarantined_for(job.request, now)
         if quarantined_for:
             decisions.append(self._refusals.quarantined(job, quarantined_for, now))
             return
-        self._group(job, now)
+        self._set_group_key(job, now)
         job.reregistered = False
-        self._jobs.keep(job)
+        self._jobs.track(job)
         self._jobs.enqueue(job, now)
 
-    def _check_lateness(self, job: Job, now: float, decisions: list[Decision]) -> None:
+    def _refuse_if_too_late(
+        self, job: Job, now: float, decisions: list[Decision]
+    ) -> None:
         if not self._jobs.is_live(job) or not job.waiting:
             return
-        if self._wait_deadlines.is_late(job, now):
-            decisions.append(self._refusals.give_up(job, Reason.TOO_LATE, now))
+        if self._wait_deadlines.is_too_late(job, now):
+            decisions.append(self._refusals.drop(job, Reason.TOO_LATE, now))
             return
-        if self._wait_deadlines.without_upstream(job, now):
-            decisions.append(self._refusals.give_up(job, Reason.NO_UPSTREAM, now))
+        if self._wait_deadlines.no_upstream_for_too_long(job, now):
+            decisions.append(self._refusals.drop(job, Reason.NO_UPSTREAM, now))
             return
-        self._wait_deadlines.plan_look(job, now)
+        self._wait_deadlines.schedule_check(job, now)
 
     def _housekeep(self, now: float, decisions: list[Decision]) -> None:
         self._housekeeping_at = now + HOUSEKEEPING_SECONDS
         self._pool.housekeep(now)
-        for timers in (self._wait_deadlines, self._jobs.lapses, self._jobs.parking):
+        for timers in (
+            self._wait_deadlines,
+            self._jobs.grant_timers,
+            self._jobs.parking,
+        ):
             timers.prune(len(self._jobs.by_id), self._jobs.is_live)
         self._blocked.clear()
-        self._wait_estimator.interval(now)
+        self._wait_estimator.close_interval(now)
         self._jobs.parking.unpark_all()
         for job in self._shedder.trim(now):
             del self._jobs.by_id[job.request.request_id]
-            self._jobs.leave_waiting(job, now)
+            self._jobs.stop_waiting(job, now)
             job.state = JobState.GONE
-            reason = Reason.TOO_LATE if job.late else Reason.SHED
-            decisions.append(self._refusals.of(job, reason, now))
+            reason = Reason.TOO_LATE if job.demoted else Reason.SHED
+            decisions.append(self._refusals.refuse(job, reason, now))
 
 
 def _lowest_tier_first(request: WaitingRequest) -> int:
--- a/bitterntiller/components/dispatch/shedding.py
+++ b/bitterntiller/components/dispatch/shedding.py
@@ -3,7 +3,12 @@
 from bitterntiller.components.dispatch.const import MAX_TRIMMED
 from bitterntiller.components.dispatch.jobs import Job
 from bitterntiller.components.dispatch.models import PolicyParameters
-from bitterntiller.components.dispatch.queue import Flow, PoolQueue, TierQueue, overlap
+from bitterntiller.components.dispatch.queue import (
+    Flow,
+    PoolQueue,
+    TierQueue,
+    groups_overlap,
+)
 from bitterntiller.components.dispatch.wait_estimator import WaitEstimator
 
 
@@ -20,13 +25,13 @@
         self._queue = queue
         self._wait_estimator = wait_estimator
 
-    def overloaded(self, job: Job, best_case: float, now: float) -> bool:
+    def overloaded(self, job: Job, min_service_seconds: float, now: float) -> bool:
         """Tell whether a new request is expected to wait for too long."""
         job.expected_wait = self._wait_estimator.expected_wait(job, now)
         start_by = job.request.start_by
         if start_by is not None:
             return job.expected_wait > start_by - now
-        slack = job.request.deadline - now - best_case
+        slack = job.request.deadline - now - min_service_seconds
         return job.expected_wait > self._parameters.wait_share * slack
 
     def victim(self, job: Job) -> Job:
@@ -50,19 +55,19 @@
         more important work came, and those that were put behind any tier, are told at
         once instead of at their deadline.
         """
-        lowest = self._queue.lowest()
+        lowest = self._queue.lowest_waiting()
         victims: list[Job] = []
         for tier in reversed(self._queue.tiers_by_rank.values()):
-            if not tier.behind and tier is not lowest:
+            if not tier.holds_demoted and tier is not lowest:
                 continue
             for flow in list(tier.flows()):
-                while len(victims) < MAX_TRIMMED and self._hopeless(flow, now):
+                while len(victims) < MAX_TRIMMED and self._expected_too_late(flow, now):
                     job = flow.last()
                     self._queue.remove(job)
                     victims.append(job)
         return victims
 
-    def _hopeless(self, flow: Flow, now: float) -> bool:
+    def _expected_too_late(self, flow: Flow, now: float) -> bool:
         if not flow.jobs:
             return False
         job = flow.last()
@@ -76,7 +81,7 @@
         flows = [
             flow
             for group in tier.groups_by_key.values()
-            if overlap(group.key, job.group)
+            if groups_overlap(group.key, job.group_key)
             for flow in group.flows_by_workspace.values()
         ]
         if not flows:
--- a/bitterntiller/components/dispatch/size_estimator.py
+++ b/bitterntiller/components/dispatch/size_estimator.py
@@ -27,7 +27,7 @@
 state the most they allow, or tokens where an event holds several; with all of it
 expected, a new owner refuses as late what idle upstreams would serve well."""
 
-WORKSPACE_PRIOR = 3
+WORKSPACE_PRIOR_ANSWERS = 3
 """Answers for which the part of the whole pool stands beside a workspace's own."""
 
 MEAN_GAIN = 0.01
@@ -42,7 +42,7 @@
     def __init__(self, parameters: PolicyParameters, speed: PoolSpeed) -> None:
         self._long_factor = parameters.long_factor
         self._speed = speed
-        self._ratio = PRIOR_RATIO
+        self._output_ratio = PRIOR_RATIO
         self._answers = 0
         self._ratio_by_workspace: dict[str, float] = {}
         self._answers_by_workspace: Counter[str] = Counter()
@@ -72,22 +72,22 @@
         seen = min(max(completion.output_tokens / stated, MIN_RATIO), MAX_RATIO)
         self._answers += 1
         gain = max(1 / self._answers, RATIO_GAIN)
-        self._ratio += gain * (seen - self._ratio)
-        known = self._ratio_by_workspace.get(job.workspace, self._ratio)
+        self._output_ratio += gain * (seen - self._output_ratio)
+        known = self._ratio_by_workspace.get(job.workspace, self._output_ratio)
         self._answers_by_workspace[job.workspace] += 1
-        answers = self._answers_by_workspace[job.workspace] + WORKSPACE_PRIOR
+        answers = self._answers_by_workspace[job.workspace] + WORKSPACE_PRIOR_ANSWERS
         gain = max(1 / answers, RATIO_GAIN)
         self._ratio_by_workspace[job.workspace] = known + gain * (seen - known)
 
     def _size_tokens(self, job: Job) -> None:
         request = job.request
-        ratio = self._ratio_by_workspace.get(job.workspace, self._ratio)
+        ratio = self._ratio_by_workspace.get(job.workspace, self._output_ratio)
         job.expected_output = request.output_tokens * ratio
         job.work = self._speed.work(request.prompt_tokens, job.expected_output)
 
     def _size_call(self, job: Job) -> None:
         tokens = job.request.prompt_tokens
-        job.guessed = not self._calls.measured(tokens)
+        job.unmeasured = not self._calls.measured(tokens)
         job.expected_output = self._calls.seconds(tokens)
         job.work = OVERHEAD_SECONDS + job.expected_output
 
--- a/bitterntiller/components/dispatch/timers.py
+++ b/bitterntiller/components/dispatch/timers.py
@@ -7,7 +7,7 @@
 from bitterntiller.components.dispatch.jobs import Job
 
 NEVER = float("inf")
-FEWEST_PRUNED = 256
+MIN_ENTRIES_TO_PRUNE = 256
 
 
 class JobTimers:
@@ -35,11 +35,11 @@
         deadline of hours. It would show as memory that grows with the requests
         served; this way there are never many more entries than live requests.
         """
-        if len(self._entries) <= 2 * live + FEWEST_PRUNED:
+        if len(self._entries) <= 2 * live + MIN_ENTRIES_TO_PRUNE:
             return
         self._entries = [entry for entry in self._entries if is_live(entry[2])]
         heapq.heapify(self._entries)
 
-    def next(self) -> float:
+    def next_due(self) -> float:
         """Return when the next one comes up."""
         return self._entries[0][0] if self._entries else NEVER
--- a/bitterntiller/components/dispatch/upstreams.py
+++ b/bitterntiller/components/dispatch/upstreams.py
@@ -68,7 +68,7 @@
         self.speed = new_speed(self._kind, self._pool_speed)
         self.ledger.clear()
         self.prefixes.clear()
-        self.health.success()
+        self.health.record_success()
         self.limit = InflightLimit(self._adaptive)
         self.rate_limiter = UpstreamRateLimiter()
         self.reserved_for = None
@@ -115,20 +115,22 @@
     def room(self, now: float) -> float:
         """Return how many more requests may be in flight."""
         limit = self.limit.limit(self.state.slots)
-        return limit - self.ledger.in_flight - int(self.ledger.foreign(now) + 0.5)
+        return (
+            limit - self.ledger.in_flight - int(self.ledger.foreign_requests(now) + 0.5)
+        )
 
     def prefill_wait(self, now: float) -> float:
         """Return the seconds until the prefill here is near enough to its end."""
         if not self.ledger.prefilling_by_id:
             return 0.0
-        return max(0.0, self.ledger.backlog(self.speed, now) - self._window)
+        return max(0.0, self.ledger.prefill_backlog(self.speed, now) - self._window)
 
     def can_take(self, now: float) -> bool:
         """Tell whether one more request may be sent now."""
         return (
             self.usable(now)
             and self.room(now) >= 1
-            and self.health.allowed(self.ledger.in_flight, now)
+            and self.health.allows_request(self.ledger.in_flight, now)
             and self.prefill_wait(now) <= 0.0
             and self.rate_limiter.wait(now) <= 0.0
         )
--- a/bitterntiller/components/dispatch/wait_deadlines.py
+++ b/bitterntiller/components/dispatch/wait_deadlines.py
@@ -10,7 +10,7 @@
 from bitterntiller.components.dispatch.timers import JobTimers
 from bitterntiller.components.dispatch.typical import TypicalPrefill
 
-LEAVING_SECONDS = 0.2
+REFUSAL_LEAD_SECONDS = 0.2
 """How long before its caller gives up a request is refused, so that the refusal still
 reaches the caller and tells it when to come back."""
 
@@ -28,28 +28,30 @@
         self._no_upstream = parameters.no_upstream_seconds
         self._pool = pool
         self._picker = picker
-        self._looks = JobTimers()
+        self._checks = JobTimers()
         self._objectives = JobTimers()
         self._typical = TypicalPrefill()
 
-    def plan_look(self, job: Job, now: float) -> None:
+    def schedule_check(self, job: Job, now: float) -> None:
         """Have a request come up when it may be late, or nobody is there for it."""
-        when = self._last_start(job, now)
+        when = self._latest_start(job, now)
         if not self._pool.view(job).members:
-            when = min(when, job.entered + self._no_upstream)
+            when = min(when, job.received_at + self._no_upstream)
         pause = PARK_SECONDS if job.request.start_by is None else START_CHECK_SECONDS
-        self._looks.add(max(when, now + pause), job)
+        self._checks.add(max(when, now + pause), job)
 
-    def plan_objective(self, job: Job, now: float) -> bool:
+    def schedule_objective(self, job: Job, now: float) -> bool:
         """Have a request come up when a typical one misses its objective.
 
         Tell if that is over already.
         """
         first_by = job.request.first_by
-        if first_by is None or job.late:
+        if first_by is None or job.demoted:
             return False
-        first_case = self._picker.first_case(job, self._pool.view(job), now)
-        self._typical.learn(job.rank, first_case)
+        min_first_output_seconds = self._picker.min_first_output_seconds(
+            job, self._pool.view(job), now
+        )
+        self._typical.learn(job.rank, min_first_output_seconds)
         # The same for all sizes: with its own prefill subtracted, a large request would
         # lose its place in a long queue before the small ones around it.
         when = first_by - self._typical.seconds(job.rank)
@@ -58,49 +60,49 @@
         self._objectives.add(when, job)
         return False
 
-    def due_looks(self, now: float) -> list[Job]:
+    def due_checks(self, now: float) -> list[Job]:
         """Take out the requests that may be late now."""
-        return self._looks.due(now)
+        return self._checks.due(now)
 
     def due_objectives(self, now: float) -> list[Job]:
         """Take out the requests that miss their objective now."""
         return self._objectives.due(now)
 
-    def next(self) -> float:
+    def next_due(self) -> float:
         """Return when the next request comes up."""
-        return min(self._looks.next(), self._objectives.next())
+        return min(self._checks.next_due(), self._objectives.next_due())
 
     def prune(self, live: int, is_live: Callable[[Job], bool]) -> None:
         """Forget the times of requests that have ended."""
-        self._looks.prune(live, is_live)
+        self._checks.prune(live, is_live)
         self._objectives.prune(live, is_live)
 
-    def is_late(self, job: Job, now: float) -> bool:
+    def is_too_late(self, job: Job, now: float) -> bool:
         """Tell whether no upstream could serve a request while it is of any use.
 
         Nothing that waits is counted, so a request is never refused as late because of
         work that it could displace.
         """
         view = self._pool.view(job)
-        job.best_case = self._picker.best_case(job, view, now)
+        job.min_service_seconds = self._picker.min_service_seconds(job, view, now)
         if now >= job.request.deadline:
             return True
-        if job.request.start_by is not None and now >= self._last_start(job, now):
+        if job.request.start_by is not None and now >= self._latest_start(job, now):
             return True
-        if now + job.best_case < job.request.deadline:
+        if now + job.min_service_seconds < job.request.deadline:
             return False
         return self._picker.probe(job, view, now) is None
 
-    def without_upstream(self, job: Job, now: float) -> bool:
+    def no_upstream_for_too_long(self, job: Job, now: float) -> bool:
         """Tell whether a request has waited too long for any upstream to be there."""
-        waited_out = now >= job.entered + self._no_upstream
+        waited_out = now >= job.received_at + self._no_upstream
         return waited_out and not self._pool.view(job).members
 
-    def _last_start(self, job: Job, now: float) -> float:
+    def _latest_start(self, job: Job, now: float) -> float:
         """Return when a request must be sent at the latest to be of any use."""
         request = job.request
-        when = request.deadline - job.best_case
+        when = request.deadline - job.min_service_seconds
         if request.start_by is None:
             return when
-        first = self._picker.first_case(job, self._pool.view(job), now)
-        return min(when, request.start_by - first - LEAVING_SECONDS)
+        first = self._picker.min_first_output_seconds(job, self._pool.view(job), now)
+        return min(when, request.start_by - first - REFUSAL_LEAD_SECONDS)
--- a/bitterntiller/components/dispatch/wait_estimator.py
+++ b/bitterntiller/components/dispatch/wait_estimator.py
@@ -57,14 +57,14 @@
         """Note the work of a request whose caller is told to come back."""
         self._refused.add(job.work, now)
 
-    def interval(self, now: float) -> None:
+    def close_interval(self, now: float) -> None:
         """Close an interval of measuring the capacity."""
         saturated = any(tier.count for tier in self._queue.tiers_by_rank.values())
         self._capacity.interval(saturated and not self._pool.any_free, now)
 
     def capacity(self) -> float:
         """Return the work that the pool gets done in a second."""
-        return self._capacity.capacity(max(1, self._pool.slots) * self._pool.pace)
+        return self._capacity.capacity(max(1, self._pool.slots) * self._pool.work_rate)
 
     def expected_wait(self, job: Job, now: float) -> float:
         """Return the expected seconds until a request would be granted.
@@ -76,20 +76,20 @@
         """
         if not self._pool.slots:
             return 0.0
-        capacity = self.capacity() * self._part(job)
+        capacity = self.capacity() * self._pool_fraction(job)
         ahead = 0.0
         arriving = 0.0
         for rank, tier in self._queue.tiers_by_rank.items():
             if rank >= job.queue_rank:
                 break
-            ahead += tier.overlapping_work(job.group)
+            ahead += tier.overlapping_work(job.group_key)
             arriving += self._arrival_rate(rank, now)
         tier = self._queue.tier(job.queue_rank)
-        own = tier.work_ahead(job) * self._crowd(job)
-        own = min(own, tier.overlapping_work(job.group))
+        own = tier.work_ahead(job) * self._sharing_factor(job)
+        own = min(own, tier.overlapping_work(job.group_key))
         left = max(capacity - arriving, MIN_SHARE * capacity)
         wait = ahead / capacity + own / left
-        share = 0.0 if job.late else self._lower_share
+        share = 0.0 if job.demoted else self._lower_share
         if not share or not self._pool.tiers_above(job.rank):
             return wait
         # A lower tier has its share whatever waits above it, but for what is late.
@@ -122,7 +122,7 @@
         """Return when a caller should come back if no upstream is there, in seconds."""
         return retry_after(NO_UPSTREAM_RETRY_SECONDS, self._rng)
 
-    def _crowd(self, job: Job) -> float:
+    def _sharing_factor(self, job: Job) -> float:
         """Return how many times longer sharing makes the wait of a workspace."""
         tier = self._queue.tier(job.queue_rank)
         own = self._limiter.share(job.workspace)
@@ -130,7 +130,7 @@
             return tier.shares / own
         return (tier.shares + own) / own
 
-    def _part(self, job: Job) -> float:
+    def _pool_fraction(self, job: Job) -> float:
         """Return the part of the pool that a request may go to."""
         if job.request.upstream_names is None:
             return 1.0
--- a/tests/components/dispatch/test_queue.py
+++ b/tests/components/dispatch/test_queue.py
@@ -16,7 +16,7 @@
     limiter.set_limits({name: WorkspaceLimits(share=s) for name, s in shares.items()})
     queue = PoolQueue(True, limiter)
     for job in jobs:
-        job.group = (None, frozenset(), 0)
+        job.group_key = (None, frozenset(), 0)
         queue.push(job)
     return queue
 
