--- a/bitterntiller/components/dispatch/estimator.py
+++ b/bitterntiller/components/dispatch/estimator.py
@@ -11,17 +11,19 @@
 from bitterntiller.components.dispatch.jobs import Job
 from bitterntiller.components.dispatch.models import Completion, PolicyParameters
 from bitterntiller.components.dispatch.pool import Pool
-from bitterntiller.components.dispatch.sizes import Sizes
+from bitterntiller.components.dispatch.size_estimator import SizeEstimator
 from bitterntiller.components.dispatch.upstreams import Upstream
 
 
 class Estimator:
     """Passes samples on to the speed, limit, health and prefixes of upstreams."""
 
-    def __init__(self, parameters: PolicyParameters, pool: Pool, sizes: Sizes) -> None:
+    def __init__(
+        self, parameters: PolicyParameters, pool: Pool, size_estimator: SizeEstimator
+    ) -> None:
         self._plain = parameters.kind == KIND_PLAIN
         self._pool = pool
-        self._sizes = sizes
+        self._size_estimator = size_estimator
 
     def progress(
         self, job: Job, output_tokens: int, now: float, first: float | None
@@ -38,7 +40,7 @@
             return
         upstream.worked_at = now
         upstream.shows_progress = True
-        if job.first_seen is None and job.tokens_seen == 0:
+        if job.first_output_at is None and job.tokens_seen == 0:
             when = now
             if first is not None and not job.adopted:
                 when = min(now, job.granted_at + first)
@@ -54,7 +56,7 @@
         if upstream is None:
             return
         if completion.load is not None:
-            upstream.ledger.fold(completion.load, now)
+            upstream.ledger.apply_load_report(completion.load, now)
         # A caller that leaves, or asks for what the upstream rejects, says nothing
         # against the upstream. Counted as failures, a few of them in a row would
         # show as an upstream that pauses for everybody.
@@ -68,11 +70,11 @@
             return
         self._pool.note_success(upstream, now)
         upstream.worked_at = now
-        self._sizes.learn(job, completion)
+        self._size_estimator.learn(job, completion)
         # The time of a call tells of the upstream's speed only beside the measured
         # mean of such calls. Beside a guess it would show as an upstream that is
         # many times too slow or too fast for calls of all sizes.
-        if not (self._plain and (job.adopted or job.guessed)):
+        if not (self._plain and (job.adopted or job.unmeasured)):
             self._learn_end(job, upstream, completion, now)
         if completion.cached_tokens is not None:
             upstream.prefixes.correct(job.expected_cached, completion.cached_tokens)
@@ -80,7 +82,7 @@
     def not_run(self, upstream: Upstream, reason: str, now: float) -> None:
         """Learn from a request that the upstream did not take."""
         if reason == REASON_NOT_ADMITTED:
-            upstream.limit.not_admitted(
+            upstream.limit.record_rejection(
                 upstream.ledger.in_flight - 1, upstream.state.slots
             )
             self._pool.note_failure(upstream, now)
@@ -90,8 +92,8 @@
         )
 
     def _first_token(self, job: Job, upstream: Upstream, now: float) -> None:
-        job.first_seen = now
-        seconds = upstream.ledger.first_token(job, now)
+        job.first_output_at = now
+        seconds = upstream.ledger.finish_prefill(job, now)
         if seconds is None:
             return
         expected = upstream.speed.prefill_seconds(job.prefill, job.kind)
@@ -116,7 +118,7 @@
         elif first is None:
             size = max(job.expected_output, 1.0)
             upstream.speed.learn_decode(size, completion.total, in_flight)
-        elif job.first_seen is None:
+        elif job.first_output_at is None:
             self._first_token(job, upstream, job.granted_at + first)
             upstream.speed.learn_decode(
                 completion.output_tokens - 1, completion.total - first, in_flight
@@ -127,4 +129,4 @@
             return
         upstream.speed.learn_total(job.expected_total, completion.total)
         upstream.limit.learn(completion.total / job.work, upstream.state.slots)
-        self._pool.note_pace(job.work, completion.total)
+        self._pool.note_service_time(job.work, completion.total)
