--- a/bitterntiller/components/dispatch/upstreams.py
+++ b/bitterntiller/components/dispatch/upstreams.py
@@ -68,21 +68,21 @@
         self.speed = new_speed(self._kind, self._pool_speed)
         self.ledger.clear()
         self.prefixes.clear()
-        self.health.success()
+        self.health.record_success()
         self.limit = InflightLimit(self._adaptive)
         self.rate_limiter = UpstreamRateLimiter()
         self.reserved_for = None
 
     def event(self, change: UpstreamChange, now: float) -> UpstreamEvent:
         """Return a change of what is believed here, with what it rests on."""
-        sick = change is UpstreamChange.SICK
+        unhealthy = change is UpstreamChange.SICK
         return UpstreamEvent(
             self.name,
             change,
             heard=now - self.heard_at,
             worked=now - self.worked_at,
             in_flight=self.ledger.in_flight,
-            probe_in=self.health.paused_until - now if sick else None,
+            probe_in=self.health.paused_until - now if unhealthy else None,
             limit=self.rate_limiter.limit,
         )
 
@@ -115,20 +115,22 @@
     def room(self, now: float) -> float:
         """Return how many more requests may be in flight."""
         limit = self.limit.limit(self.state.slots)
-        return limit - self.ledger.in_flight - int(self.ledger.foreign(now) + 0.5)
+        return (
+            limit - self.ledger.in_flight - int(self.ledger.foreign_requests(now) + 0.5)
+        )
 
     def prefill_wait(self, now: float) -> float:
         """Return the seconds until the prefill here is near enough to its end."""
         if not self.ledger.prefilling_by_id:
             return 0.0
-        return max(0.0, self.ledger.backlog(self.speed, now) - self._window)
+        return max(0.0, self.ledger.prefill_backlog(self.speed, now) - self._window)
 
     def can_take(self, now: float) -> bool:
         """Tell whether one more request may be sent now."""
         return (
             self.usable(now)
             and self.room(now) >= 1
-            and self.health.allowed(self.ledger.in_flight, now)
+            and self.health.allows_request(self.ledger.in_flight, now)
             and self.prefill_wait(now) <= 0.0
             and self.rate_limiter.wait(now) <= 0.0
         )
