--- a/bitterntiller/components/orders/intent.py
+++ b/bitterntiller/components/orders/claims.py
@@ -5,13 +5,13 @@
 from typing import Any
 
 from bitterntiller.components.orders import const
-from bitterntiller.components.orders.models import Order, OrderAnswer
+from bitterntiller.components.orders.models import Order, OrderOutcome
 from bitterntiller.protocol import messages
 
 CallLeader = Callable[[Any, float], Awaitable[Any]]
 
 
-class OrderIntents:
+class OrderClaims:
     """Commits a claim before an order goes to an upstream that repeats it.
 
     The owner may die between the sending and the answer. The next owner gives
@@ -23,9 +23,9 @@
         self._call_leader = call_leader
         self._host = host
         self._incarnation = incarnation
-        self._voids_by_id: Counter[str] = Counter()
+        self._void_count_by_id: Counter[str] = Counter()
 
-    async def async_begin(self, order: Order) -> OrderAnswer | None:
+    async def async_begin(self, order: Order) -> OrderOutcome | None:
         """Return None when the order may be sent, else what is known of it."""
         if order.idempotent:
             return None
@@ -34,24 +34,24 @@
         if status == "taken":
             return None
         if status == "finished":
-            return OrderAnswer(reply.outcome, "given by an earlier owner")
+            return OrderOutcome(reply.outcome, "given by an earlier owner")
         if status in ("running", "orphaned"):
             text = "sent by an earlier owner; its answer was lost"
-            return OrderAnswer(const.STATE_UNKNOWN, text)
+            return OrderOutcome(const.STATE_UNKNOWN, text)
         if status == "voided":
-            self._voids_by_id[order.order_id] += 1
-        return OrderAnswer(const.STATE_NOT_SENT, f"no claim: {status}")
+            self._void_count_by_id[order.order_id] += 1
+        return OrderOutcome(const.STATE_NOT_SENT, f"no claim: {status}")
 
-    async def async_end(self, order: Order, answer: OrderAnswer) -> None:
+    async def async_end(self, order: Order, outcome: OrderOutcome) -> None:
         """Record how the sending ended, where that is known."""
-        if order.idempotent or answer.state == const.STATE_UNKNOWN:
+        if order.idempotent or outcome.state == const.STATE_UNKNOWN:
             return
-        if answer.state in (const.STATE_NOT_SENT, const.STATE_STALE):
+        if outcome.state in (const.STATE_NOT_SENT, const.STATE_STALE):
             reply = await self._async_claim("void", order)
             if reply is not None and reply.status == "voided":
-                self._voids_by_id[order.order_id] += 1
+                self._void_count_by_id[order.order_id] += 1
             return
-        await self._async_claim("finish", order, answer.state)
+        await self._async_claim("finish", order, outcome.state)
 
     async def _async_claim(self, action: str, order: Order, outcome: str = "") -> Any:
         """Call control; the request id stays the same until the claim is voided.
@@ -59,7 +59,7 @@
         A take whose answer was lost is then taken, or found, by the next one,
         and is not mistaken for that of an earlier owner.
         """
-        voids = self._voids_by_id[order.order_id]
+        voids = self._void_count_by_id[order.order_id]
         claim = messages.Claim(
             action=action,
             workspace=const.CLAIM_WORKSPACE,
--- a/bitterntiller/components/orders/const.py
+++ b/bitterntiller/components/orders/const.py
@@ -38,7 +38,7 @@
 
 TICK = 0.5
 RETRY_PAUSE = 5.0
-SILENCE = 10.0
+ANNOUNCEMENT_TIMEOUT = 10.0
 """Seconds; an upstream silent for longer gets no orders."""
 
 CONNECT_TIMEOUT = 1.0
--- a/bitterntiller/components/orders/coordinator.py
+++ b/bitterntiller/components/orders/coordinator.py
@@ -8,15 +8,15 @@
 
 from bitterntiller.components.config.models import Service
 from bitterntiller.components.orders import const
+from bitterntiller.components.orders.claims import OrderClaims
 from bitterntiller.components.orders.desired_orders import order_seconds, wants_orders
 from bitterntiller.components.orders.diagnostics import describe
-from bitterntiller.components.orders.intent import OrderIntents
-from bitterntiller.components.orders.models import Order, OrderAnswer, OrderedUpstream
+from bitterntiller.components.orders.models import Order, OrderedUpstream, OrderOutcome
 from bitterntiller.components.orders.pool import PoolOrders
 from bitterntiller.core.interfaces import ConfigView, DirectoryView, Lease
 from bitterntiller.core.runtime import Runtime
 
-SendOrder = Callable[[Order, Callable[[], bool], float], Awaitable[OrderAnswer]]
+SendOrder = Callable[[Order, Callable[[], bool], float], Awaitable[OrderOutcome]]
 
 
 class NodeViews(NamedTuple):
@@ -31,19 +31,23 @@
     """Issues orders under the epoch of each owned pool."""
 
     def __init__(
-        self, runtime: Runtime, views: NodeViews, intents: OrderIntents, send: SendOrder
+        self,
+        runtime: Runtime,
+        views: NodeViews,
+        order_claims: OrderClaims,
+        send: SendOrder,
     ) -> None:
         self._host = runtime.settings.host
         self._clock = runtime.clock
         self._metrics = runtime.metrics
         self._views = views
-        self._intents = intents
+        self._claims = order_claims
         self._send = send
         self._upstreams_by_pool: dict[str, dict[str, OrderedUpstream]] = {}
         self._tasks: set[curio.Task] = set()
         self.orders_by_pool: dict[str, PoolOrders] = {}
 
-    def note_announcement(self, announce: Any) -> None:
+    def record_announcement(self, announce: Any) -> None:
         """Take an accepted messages.Announce of an owned pool; never awaits."""
         upstreams = self._upstreams_by_pool.setdefault(announce.pool, {})
         upstreams[announce.name] = OrderedUpstream(
@@ -52,7 +56,7 @@
             incarnation=announce.incarnation,
             leaving=announce.state == "leaving",
             labels=dict(announce.labels),
-            heard=self._clock.now(),
+            last_announced_at=self._clock.now(),
         )
 
     async def async_run(self) -> None:
@@ -113,34 +117,34 @@
         self, service: Service, orders: PoolOrders, order: Order
     ) -> None:
         try:
-            answer = await self._async_give(service, order)
+            outcome = await self._async_give(service, order)
         except Exception:
             # Unnoted, the order would count as being sent, and keep its upstream
             # and its room for loads, until the pool changes hands.
             logging.exception("order %s to %s failed", order.kind, order.upstream)
-            answer = OrderAnswer(const.STATE_UNKNOWN, "an error of this process")
-        orders.note(order, answer)
-        self._metrics.count(f"orders.{order.kind}.{answer.state}")
+            outcome = OrderOutcome(const.STATE_UNKNOWN, "an error of this process")
+        orders.record_outcome(order, outcome)
+        self._metrics.count(f"orders.{order.kind}.{outcome.state}")
         logging.info(
             "order %s %s to %s: %s %s",
             order.kind,
             order.argument,
             order.upstream,
-            answer.state,
-            answer.text,
+            outcome.state,
+            outcome.text,
         )
         self._tasks.discard(await curio.current_task())
 
-    async def _async_give(self, service: Service, order: Order) -> OrderAnswer:
+    async def _async_give(self, service: Service, order: Order) -> OrderOutcome:
         def may_send() -> bool:
             return self._epoch(service.name) == order.fence
 
-        known = await self._intents.async_begin(order)
+        known = await self._claims.async_begin(order)
         if known is not None:
             return known
-        answer = await self._send(order, may_send, order_seconds(service))
-        await self._intents.async_end(order, answer)
-        return answer
+        outcome = await self._send(order, may_send, order_seconds(service))
+        await self._claims.async_end(order, outcome)
+        return outcome
 
     def describe(self) -> dict[str, Any]:
         """Return this part's share of the dump."""
--- a/bitterntiller/components/orders/desired_orders.py
+++ b/bitterntiller/components/orders/desired_orders.py
@@ -31,12 +31,12 @@
     return [
         wanted
         for kind in const.LABEL_BY_KIND
-        for wanted in _of_kind(kind, service, upstream)
-        if not _satisfied(wanted, upstream)
+        for wanted in _desired_of_kind(kind, service, upstream)
+        if not _is_satisfied(wanted, upstream)
     ]
 
 
-def _of_kind(
+def _desired_of_kind(
     kind: str, service: Service, upstream: OrderedUpstream
 ) -> list[DesiredOrder]:
     arguments: dict[str, None] = {}
@@ -59,7 +59,7 @@
     return [item.strip() for item in value.split(",") if item.strip()]
 
 
-def _satisfied(wanted: DesiredOrder, upstream: OrderedUpstream) -> bool:
+def _is_satisfied(wanted: DesiredOrder, upstream: OrderedUpstream) -> bool:
     """Tell whether the upstream's own labels say that nothing is to be done."""
     if wanted.kind == const.KIND_ROLE:
         return upstream.labels.get(const.UPSTREAM_LABEL_ROLE) == wanted.argument
--- a/bitterntiller/components/orders/errors.py
+++ b/bitterntiller/components/orders/errors.py
@@ -3,7 +3,7 @@
 from bitterntiller.core.errors import CodedError
 
 
-class ForeignAnswerError(CodedError):
+class OrderMismatchError(CodedError):
     """Raised for an answer that names another order."""
 
     code = "foreign-answer"
--- a/bitterntiller/components/orders/models.py
+++ b/bitterntiller/components/orders/models.py
@@ -18,7 +18,7 @@
     incarnation: int
     leaving: bool
     labels: dict[str, str]
-    heard: float
+    last_announced_at: float
 
 
 class Order(NamedTuple):
@@ -43,7 +43,7 @@
     text: str = ""
 
 
-class OrderAnswer(NamedTuple):
+class OrderOutcome(NamedTuple):
     """How the sending of an order ended; state is one of const.STATE_."""
 
     state: str
--- a/bitterntiller/components/orders/pool.py
+++ b/bitterntiller/components/orders/pool.py
@@ -10,8 +10,8 @@
 )
 from bitterntiller.components.orders.models import (
     Order,
-    OrderAnswer,
     OrderedUpstream,
+    OrderOutcome,
     OrderRecord,
 )
 
@@ -19,9 +19,9 @@
 class PoolOrders:
     """What was ordered under one epoch of a pool; times in seconds."""
 
-    def __init__(self, epoch: int, gained_at: float) -> None:
+    def __init__(self, epoch: int, owned_since: float) -> None:
         self.epoch = epoch
-        self.gained_at = gained_at
+        self.owned_since = owned_since
         self.stale = False
         self.records_by_id: dict[str, OrderRecord] = {}
 
@@ -49,9 +49,12 @@
     def _next(
         self, service: Service, upstream: OrderedUpstream, now: float
     ) -> Order | None:
-        if upstream.leaving or now - upstream.heard > const.SILENCE:
+        if (
+            upstream.leaving
+            or now - upstream.last_announced_at > const.ANNOUNCEMENT_TIMEOUT
+        ):
             return None
-        if self._busy(upstream.name):
+        if self._is_busy(upstream.name):
             return None
         for wanted in desired_orders_of(service, upstream):
             order = make_order(service, upstream, wanted, self.epoch)
@@ -62,7 +65,7 @@
             return order
         return None
 
-    def _busy(self, upstream: str) -> bool:
+    def _is_busy(self, upstream: str) -> bool:
         return any(
             record.state == const.STATE_SENDING and record.order.upstream == upstream
             for record in self.records_by_id.values()
@@ -97,11 +100,11 @@
             upstream.labels.get(const.UPSTREAM_LABEL_FENCING) == const.FENCING_CHECKED
         )
         is_load = order.kind == const.KIND_LOAD
-        if (is_load or not checked) and now - self.gained_at < seconds:
+        if (is_load or not checked) and now - self.owned_since < seconds:
             return True
-        return is_load and self._loading(seconds, now) >= loads_at_once(service)
+        return is_load and self._active_loads(seconds, now) >= loads_at_once(service)
 
-    def _loading(self, seconds: float, now: float) -> int:
+    def _active_loads(self, seconds: float, now: float) -> int:
         """Return how many loads may be going on.
 
         One whose answer was lost may go on for the whole order time.
@@ -122,15 +125,15 @@
         record = self.records_by_id.get(order.order_id)
         return record.attempts if record else 0
 
-    def note(self, order: Order, answer: OrderAnswer) -> None:
+    def record_outcome(self, order: Order, outcome: OrderOutcome) -> None:
         """Note how the sending of an order ended."""
         record = self.records_by_id[order.order_id]
         self.records_by_id[order.order_id] = record._replace(
-            state=answer.state, text=answer.text
+            state=outcome.state, text=outcome.text
         )
         self._forget_oldest()
         # The upstream has seen a later epoch: this owner was replaced.
-        if answer.state == const.STATE_STALE:
+        if outcome.state == const.STATE_STALE:
             self.stale = True
 
     def _forget_oldest(self) -> None:
--- a/bitterntiller/components/orders/sender.py
+++ b/bitterntiller/components/orders/sender.py
@@ -9,15 +9,15 @@
     ConnectRefusedError,
 )
 from bitterntiller.components.orders import const
-from bitterntiller.components.orders.errors import ForeignAnswerError
-from bitterntiller.components.orders.models import Order, OrderAnswer
+from bitterntiller.components.orders.errors import OrderMismatchError
+from bitterntiller.components.orders.models import Order, OrderOutcome
 
 _HEADERS = [(b"content-type", b"application/json")]
 
 
 async def async_send_order(
     order: Order, may_send: Callable[[], bool], timeout: float
-) -> OrderAnswer:
+) -> OrderOutcome:
     """Send an order and return how it ended; timeout in seconds.
 
     may_send is asked when the connection stands, just before the first byte:
@@ -26,20 +26,20 @@
     try:
         exchange = await ClientExchange.async_open(order.address, const.CONNECT_TIMEOUT)
     except ConnectRefusedError as error:
-        return OrderAnswer(const.STATE_NOT_SENT, error.text)
+        return OrderOutcome(const.STATE_NOT_SENT, error.text)
     try:
         if not may_send():
-            return OrderAnswer(const.STATE_NOT_SENT, "no lease of the pool")
+            return OrderOutcome(const.STATE_NOT_SENT, "no lease of the pool")
         return await _async_exchange(exchange, order, timeout)
-    except (BrokenAnswerError, ForeignAnswerError) as error:
-        return OrderAnswer(const.STATE_UNKNOWN, error.text)
+    except (BrokenAnswerError, OrderMismatchError) as error:
+        return OrderOutcome(const.STATE_UNKNOWN, error.text)
     finally:
         await exchange.async_close()
 
 
 async def _async_exchange(
     exchange: ClientExchange, order: Order, timeout: float
-) -> OrderAnswer:
+) -> OrderOutcome:
     body = {
         "order_id": order.order_id,
         "kind": order.kind,
@@ -52,22 +52,22 @@
     parts = []
     while (part := await exchange.async_data(timeout)) is not None:
         parts.append(part)
-    return read_answer(order, head.status, b"".join(parts))
+    return parse_response(order, head.status, b"".join(parts))
 
 
-def read_answer(order: Order, status: int, body: bytes) -> OrderAnswer:
-    """Return what an upstream's answer means; raise ForeignAnswerError."""
+def parse_response(order: Order, status: int, body: bytes) -> OrderOutcome:
+    """Return what an upstream's answer means; raise OrderMismatchError."""
     text = f"{status} {body[:200].decode('utf-8', 'replace')}"
     if status == 409:
-        return OrderAnswer(const.STATE_STALE, text)
+        return OrderOutcome(const.STATE_STALE, text)
     if 400 <= status < 500:
-        return OrderAnswer(const.STATE_REFUSED, text)
+        return OrderOutcome(const.STATE_REFUSED, text)
     if status != 200:
-        return OrderAnswer(const.STATE_UNKNOWN, text)
+        return OrderOutcome(const.STATE_UNKNOWN, text)
     try:
         document = json.loads(body)
     except (ValueError, RecursionError):
-        return OrderAnswer(const.STATE_UNKNOWN, text)
+        return OrderOutcome(const.STATE_UNKNOWN, text)
     if not isinstance(document, dict) or document.get("order_id") != order.order_id:
-        raise ForeignAnswerError(f"the answer is not to {order.order_id}: {text}")
-    return OrderAnswer(const.STATE_DONE, text)
+        raise OrderMismatchError(f"the answer is not to {order.order_id}: {text}")
+    return OrderOutcome(const.STATE_DONE, text)
--- a/bitterntiller/daemon/process.py
+++ b/bitterntiller/daemon/process.py
@@ -82,7 +82,7 @@
             runtime, *views, found, session.versions, session.control_client
         )
         issuer = await orders.async_setup(runtime, session)
-        owner.add_announce_listener(issuer.note_announcement)
+        owner.add_announce_listener(issuer.record_announcement)
     await operator.async_setup(runtime, session.control_client, found)
     callers = None
     if ROLE_ENTRY in roles:
--- a/tests/components/orders/builders.py
+++ b/tests/components/orders/builders.py
@@ -3,9 +3,9 @@
 import curio
 
 from bitterntiller.components.config.models import Config, Selector, Service
+from bitterntiller.components.orders.claims import OrderClaims
 from bitterntiller.components.orders.coordinator import NodeViews, OrdersCoordinator
-from bitterntiller.components.orders.intent import OrderIntents
-from bitterntiller.components.orders.models import OrderAnswer, OrderedUpstream
+from bitterntiller.components.orders.models import OrderedUpstream, OrderOutcome
 from bitterntiller.core.clock import ManualClock
 from bitterntiller.core.interfaces import Ownership
 from bitterntiller.protocol import decode, encode, messages
@@ -17,8 +17,8 @@
     return Service("llm", "engine", ("/v1",), (), Selector(), labels)
 
 
-def make_upstream(name="bole-1", heard=0.0, **labels):
-    return OrderedUpstream(name, "10.0.1.1:9001", 3, False, labels, heard)
+def make_upstream(name="bole-1", last_announced_at=0.0, **labels):
+    return OrderedUpstream(name, "10.0.1.1:9001", 3, False, labels, last_announced_at)
 
 
 class FakeViews:
@@ -46,11 +46,11 @@
 
     def __init__(self):
         self.orders = []
-        self.answer = OrderAnswer("done", "200")
+        self.answer = OrderOutcome("done", "200")
 
     async def async_send(self, order, may_send, timeout):
         if not may_send():
-            return OrderAnswer("not-sent", "")
+            return OrderOutcome("not-sent", "")
         self.orders.append(order)
         return self.answer
 
@@ -81,14 +81,14 @@
         self.coordinator = OrdersCoordinator(
             make_runtime(self.clock),
             NodeViews(self.views, self.views, self.views),
-            OrderIntents(control.async_call, "kirkos-1", incarnation),
+            OrderClaims(control.async_call, "kirkos-1", incarnation),
             self.upstream.async_send,
         )
 
     async def async_pass(self, seconds):
         """Let time pass, with an announcement and the issuing at its end."""
         self.clock.advance(seconds)
-        self.coordinator.note_announcement(
+        self.coordinator.record_announcement(
             messages.Announce(
                 name="bole-1",
                 pool="llm",
--- a/tests/components/orders/test_coordinator.py
+++ b/tests/components/orders/test_coordinator.py
@@ -4,11 +4,11 @@
 import pytest
 
 from bitterntiller.components.control.state import ControlState
-from bitterntiller.components.orders.models import OrderAnswer
+from bitterntiller.components.orders.models import OrderOutcome
 
 from .builders import FakeControl, Issuer, make_service
 
-LOST = OrderAnswer("unknown", "the connection broke")
+LOST = OrderOutcome("unknown", "the connection broke")
 SERVICE = make_service(order_role="decode")
 
 
@@ -72,7 +72,7 @@
             setattr(issuer.views, *change.get(cause, ("epoch", 8)))
             return await control.async_call(claim, timeout)
 
-        issuer.coordinator._intents._call_leader = freeze
+        issuer.coordinator._claims._call_leader = freeze
         await issuer.async_pass(0)
         assert issuer.upstream.orders == []
         record = next(iter(control.state.claims.records_by_key.values()))
@@ -94,7 +94,7 @@
         issuer = make_issuer(fencing="checked", **labels)
         issuer.upstream.answer = LOST
         await issuer.async_pass(0)
-        issuer.upstream.answer = OrderAnswer("done", "200")
+        issuer.upstream.answer = OrderOutcome("done", "200")
         await issuer.async_pass(6)
         await issuer.async_pass(6)
         assert len(issuer.upstream.orders) == sent
@@ -154,13 +154,13 @@
 def test_a_newer_fence_stops_the_owner():
     async def main():
         issuer = make_issuer(fencing="checked")
-        issuer.upstream.answer = OrderAnswer("stale", "409")
+        issuer.upstream.answer = OrderOutcome("stale", "409")
         await issuer.async_pass(0)
         issuer.views.service = make_service(order_role="prefill")
         await issuer.async_pass(6)
         assert len(issuer.upstream.orders) == 1
         issuer.views.epoch = 9
-        issuer.upstream.answer = OrderAnswer("done", "200")
+        issuer.upstream.answer = OrderOutcome("done", "200")
         await issuer.async_pass(1)
         assert issuer.upstream.orders[-1].fence == 9
 
@@ -178,7 +178,7 @@
         issuer.upstream.answer = None
         await issuer.async_pass(0)
         assert issuer.states == ["unknown"]
-        issuer.upstream.answer = OrderAnswer("done", "200")
+        issuer.upstream.answer = OrderOutcome("done", "200")
         issuer.views.service = make_service(order_role="prefill")
         await issuer.async_pass(1)
         assert issuer.states == ["unknown", "done"]
--- a/tests/components/orders/test_parts.py
+++ b/tests/components/orders/test_parts.py
@@ -7,7 +7,7 @@
 from curio import socket
 
 from bitterntiller.components.orders.desired_orders import desired_orders_of
-from bitterntiller.components.orders.models import DesiredOrder, Order, OrderAnswer
+from bitterntiller.components.orders.models import DesiredOrder, Order, OrderOutcome
 from bitterntiller.components.orders.pool import PoolOrders
 from bitterntiller.components.orders.sender import async_send_order
 
@@ -44,25 +44,27 @@
     service = make_service(order_load="v1", order_loads_at_once="2")
     pool = PoolOrders(7, 0.0)
     upstreams = {
-        f"u{n}": make_upstream(f"u{n}", heard=200.0, fencing="checked")
+        f"u{n}": make_upstream(f"u{n}", last_announced_at=200.0, fencing="checked")
         for n in range(6)
     }
     assert pool.due(service, upstreams, 59.0) == []
     first = pool.due(service, upstreams, 200.0)
     assert len(first) == 2
     assert pool.due(service, upstreams, 200.0) == []
-    pool.note(first[0], OrderAnswer("unknown", "lost"))
+    pool.record_outcome(first[0], OrderOutcome("unknown", "lost"))
     assert pool.due(service, upstreams, 201.0) == []
-    pool.note(first[1], OrderAnswer("done", "200"))
+    pool.record_outcome(first[1], OrderOutcome("done", "200"))
     assert [o.upstream for o in pool.due(service, upstreams, 201.0)] == ["u2"]
-    upstreams = {name: u._replace(heard=261.0) for name, u in upstreams.items()}
+    upstreams = {
+        name: u._replace(last_announced_at=261.0) for name, u in upstreams.items()
+    }
     assert [o.upstream for o in pool.due(service, upstreams, 261.0)] == ["u3"]
 
 
 def test_no_orders_to_an_upstream_that_leaves_or_is_silent():
     pool = PoolOrders(7, 0.0)
     service = make_service(order_role="decode")
-    upstream = make_upstream(heard=90.0)
+    upstream = make_upstream(last_announced_at=90.0)
     assert pool.due(service, {"u": upstream._replace(leaving=True)}, 91.0) == []
     assert pool.due(service, {"u": upstream}, 101.0) == []
     assert len(pool.due(service, {"u": upstream}, 100.0)) == 1
