--- a/bench/control.py
+++ b/bench/control.py
@@ -26,7 +26,7 @@
 )
 from bitterntiller.components import replication
 from bitterntiller.components.config.parse import parse_config
-from bitterntiller.components.control.const import MAX_CLAIM_GROUP
+from bitterntiller.components.control.const import MAX_CLAIMS_PER_GROUP
 from bitterntiller.components.control.proposals import Proposer
 from bitterntiller.components.control.state import ControlState
 from bitterntiller.core.clock import RuntimeClock
@@ -71,14 +71,16 @@
 
 def measure_claims() -> dict[str, Any]:
     state = ControlState()
-    groups = range(0, CLAIMS, MAX_CLAIM_GROUP)
+    groups = range(0, CLAIMS, MAX_CLAIMS_PER_GROUP)
     commands = [
         make_command(
-            claims=[make_claim(number) for number in range(at, at + MAX_CLAIM_GROUP)]
+            claims=[
+                make_claim(number) for number in range(at, at + MAX_CLAIMS_PER_GROUP)
+            ]
         )
         for at in groups
     ]
-    count = len(commands) * MAX_CLAIM_GROUP
+    count = len(commands) * MAX_CLAIMS_PER_GROUP
     seconds = processor_seconds(
         lambda: [state.apply(index, item) for index, item in enumerate(commands, 1)]
     )
--- a/bench/control_fleet.py
+++ b/bench/control_fleet.py
@@ -15,7 +15,7 @@
 )
 from bitterntiller.components.config.parse import parse_config
 from bitterntiller.components.control.coordinator import ControlCoordinator
-from bitterntiller.components.control.heartbeats import period
+from bitterntiller.components.control.heartbeats import heartbeat_interval
 from bitterntiller.components.control.state import ControlState
 from bitterntiller.components.node.coordinator import NodeCoordinator
 from bitterntiller.components.settings.models import (
@@ -81,7 +81,7 @@
 
         def take_all() -> None:
             for node, data in zip(self.nodes, replies, strict=True):
-                assert node.take_reply(decode(messages.HeartbeatReply, data), now)
+                assert node.apply_reply(decode(messages.HeartbeatReply, data), now)
 
         self._in_nodes(take_all)
         self.clock.advance(0.5)
@@ -123,7 +123,7 @@
     await fleet.leader.async_place()
     directory = await fleet.async_measured(1)
     await fleet.leader._runtime.stack.aclose()
-    seconds = period(nodes, Timings())
+    seconds = heartbeat_interval(nodes, Timings())
     day = {
         "heartbeats": DAY / seconds,
         "changes": CHANGES_A_DAY,
@@ -171,16 +171,16 @@
 
     def build_sessions() -> Fleet:
         fleet = build()
-        term = fleet.leader.leading()
+        term = fleet.leader.leader_term()
         for number in range(320):
             runtime = make_runtime(number, fleet.clock)
             node = NodeCoordinator(runtime, parse_config)
             heartbeat = decode(messages.Heartbeat, encode(node.make_heartbeat()))
-            term.sessions.hear(heartbeat, fleet.clock.now())
+            term.sessions.record_heartbeat(heartbeat, fleet.clock.now())
         return fleet
 
     fleet, with_sessions = allocated(build_sessions)
-    term = fleet.leader.leading()
+    term = fleet.leader.leader_term()
     term.rebuild_directory(fleet.clock.now())
     data = encode(term.directory.current)
     assert len(term.directory.current.hosts) == 320
--- a/bitterntiller/components/control/__init__.py
+++ b/bitterntiller/components/control/__init__.py
@@ -17,7 +17,7 @@
     runtime: Runtime,
     open_log: OpenLog,
     parse: ParseConfig = parse_config,
-    assigns: bool = True,
+    assigns_owners: bool = True,
 ) -> ControlCoordinator:
     """Open the log and answer nodes and operators until the process unloads.
 
@@ -28,7 +28,7 @@
     check_timings(runtime.settings.timings)
     state = ControlState()
     log = await open_log(runtime, state)
-    coordinator = ControlCoordinator(runtime, log, state, parse, assigns)
+    coordinator = ControlCoordinator(runtime, log, state, parse, assigns_owners)
     await coordinator.async_start()
     runtime.add_diagnostics("control", coordinator.describe)
     return coordinator
--- a/bitterntiller/components/control/claims.py
+++ b/bitterntiller/components/control/claims.py
@@ -72,10 +72,10 @@
         return claim_reply(record.state, record)
 
     def _take_new(self, key: ClaimKey, claim: Any, time_ms: int) -> Any:
-        if key not in self.records_by_key and self._full(key.workspace):
+        if key not in self.records_by_key and self._is_full(key.workspace):
             return claim_reply(CLAIM_FULL)
-        record = _record(claim, CLAIM_RUNNING, time_ms)
-        self._put(key, record)
+        record = _make_record(claim, CLAIM_RUNNING, time_ms)
+        self._insert(key, record)
         return claim_reply(CLAIM_TAKEN, record)
 
     def _finish(self, claim: Any, time_ms: int) -> Any:
@@ -103,10 +103,10 @@
         key = _key(claim)
         record = self.records_by_key.get(key)
         if record is None:
-            if self._full(key.workspace):
+            if self._is_full(key.workspace):
                 return claim_reply(CLAIM_FULL)
-            record = _record(claim, CLAIM_VOIDED, time_ms)
-            self._put(key, record)
+            record = _make_record(claim, CLAIM_VOIDED, time_ms)
+            self._insert(key, record)
             return claim_reply(CLAIM_VOIDED, record)
         if not _is_holder(record, claim) or record.state == CLAIM_FINISHED:
             return claim_reply(record.state, record)
@@ -114,12 +114,12 @@
         self.records_by_key[key] = record
         return claim_reply(CLAIM_VOIDED, record)
 
-    def _full(self, workspace: str) -> bool:
+    def _is_full(self, workspace: str) -> bool:
         if len(self.records_by_key) >= MAX_CLAIMS:
             return True
         return self._count_by_workspace[workspace] >= MAX_CLAIMS_PER_WORKSPACE
 
-    def _put(self, key: ClaimKey, record: ClaimRecord) -> None:
+    def _insert(self, key: ClaimKey, record: ClaimRecord) -> None:
         """Put a record in as the newest, so that the order is that of age."""
         if key in self.records_by_key:
             self._drop(key)
@@ -132,7 +132,7 @@
         if not self._count_by_workspace[key.workspace]:
             del self._count_by_workspace[key.workspace]
 
-    def forget(self, before_ms: int) -> None:
+    def expire(self, before_ms: int) -> None:
         """Drop the claims taken before a cluster time."""
         while self.records_by_key:
             key, record = next(iter(self.records_by_key.items()))
@@ -177,7 +177,7 @@
     return holder == (claim.host, claim.incarnation, claim.request_id)
 
 
-def _record(claim: Any, state: str, time_ms: int) -> ClaimRecord:
+def _make_record(claim: Any, state: str, time_ms: int) -> ClaimRecord:
     return ClaimRecord(
         state=state,
         digest=claim.digest,
--- a/bitterntiller/components/control/configuration.py
+++ b/bitterntiller/components/control/configuration.py
@@ -54,12 +54,12 @@
         digest = _digest(change)
         known = self.outcomes_by_id.get(change.change_id)
         if known is not None:
-            return _again(known, digest)
+            return _repeat_reply(known, digest)
         if change.base_version != self.version:
-            return self._refuse(change, digest, time_ms)
+            return self._reject(change, digest, time_ms)
         document = json.loads(change.config)
         self._advance(document)
-        self._record(change, STATUS_ACCEPTED, digest, time_ms)
+        self._record_outcome(change, STATUS_ACCEPTED, digest, time_ms)
         return _reply(STATUS_ACCEPTED, self.version)
 
     def _apply_numbered(self, change: Any) -> Any:
@@ -74,7 +74,7 @@
             self._advance(json.loads(change.config))
         return _reply(STATUS_ACCEPTED, self.version)
 
-    def _refuse(self, change: Any, digest: str, time_ms: int) -> Any:
+    def _reject(self, change: Any, digest: str, time_ms: int) -> Any:
         """Refuse a change against another version than the present one.
 
         When an outcome for the same base version was dropped, this id may have
@@ -83,7 +83,7 @@
         if change.base_version <= self._forgotten_base:
             text = "outcomes of changes as old as this are no longer kept"
             return _reply(STATUS_EXPIRED_ID, self.version, text)
-        self._record(change, STATUS_CONFLICT, digest, time_ms)
+        self._record_outcome(change, STATUS_CONFLICT, digest, time_ms)
         return _reply(STATUS_CONFLICT, self.version, _conflict_text(self.version))
 
     def _advance(self, document: dict[str, Any]) -> None:
@@ -94,14 +94,16 @@
         self.version += 1
         self._patches.append(Patch(self.version, data))
 
-    def _record(self, change: Any, status: str, digest: str, time_ms: int) -> None:
+    def _record_outcome(
+        self, change: Any, status: str, digest: str, time_ms: int
+    ) -> None:
         self.outcomes_by_id[change.change_id] = ChangeOutcome(
             status, self.version, change.base_version, digest, time_ms
         )
         while len(self.outcomes_by_id) > MAX_CHANGE_IDS:
             self._drop_oldest()
 
-    def forget(self, before_ms: int) -> None:
+    def expire(self, before_ms: int) -> None:
         """Drop the outcomes recorded before a cluster time."""
         while self.outcomes_by_id:
             oldest = next(iter(self.outcomes_by_id.values()))
@@ -173,7 +175,7 @@
     return f"the present version is {version}"
 
 
-def _again(known: ChangeOutcome, digest: str) -> Any:
+def _repeat_reply(known: ChangeOutcome, digest: str) -> Any:
     if known.digest != digest:
         text = "this change id was used for another change"
         return _reply(STATUS_INVALID, known.version, text)
--- a/bitterntiller/components/control/confirm.py
+++ b/bitterntiller/components/control/confirm.py
@@ -11,7 +11,7 @@
         self.index: int | None = None
 
 
-class ConfirmBatch:
+class ConfirmationBatcher:
     """Shares confirmations between those who ask at about the same time.
 
     A caller gets the result of a confirmation that began after it asked. One
--- a/bitterntiller/components/control/const.py
+++ b/bitterntiller/components/control/const.py
@@ -35,10 +35,10 @@
 UPSTREAM_SILENT = "silent"
 UPSTREAM_GONE = "gone"
 
-UNSTATED_INCARNATION = -1
+UNSPECIFIED_INCARNATION = -1
 """Stands for the incarnation of a departure that does not say whose it is."""
 
-EVERY_INCARNATION = 2**62
+ALL_INCARNATIONS = 2**62
 """Stands for an incarnation that is higher than any: all of that name are gone."""
 
 MAX_UPSTREAMS = 8192
@@ -79,19 +79,19 @@
 PROPOSE_TIMEOUT = 1.5
 """Seconds; both end before the caller's link_call timeout."""
 
-MAX_REPLACED = 4
+MAX_REPLACED_INCARNATIONS = 4
 """Incarnations of a host that are remembered as replaced."""
 
 HEARTBEATS_PER_SECOND = 400
 """Heartbeats that one leader asks for at most; many nodes send them more rarely."""
 
-YOUNG_HEARTBEAT = 0.1
+NEW_HOST_HEARTBEAT_INTERVAL = 0.1
 """Seconds from the first heartbeat of a host that had no lease to its second one."""
 
-LEASE_PART = 3
+MIN_HEARTBEATS_PER_LEASE = 3
 """Heartbeats in a lease at least, so that a lost one does not end the lease."""
 
-SESSION_AGE = 60.0
+SESSION_TIMEOUT = 60.0
 """Seconds after which a silent host is no longer in the directory."""
 
 LARGE_CONFIG_BYTES = 16 * 1024
@@ -105,11 +105,11 @@
 """
 MAX_ID_LENGTH = 128
 
-CLAIM_GROUPS = 4
+CONCURRENT_CLAIM_GROUPS = 4
 """Groups of claims that may wait for their commit at once."""
 
 MAX_WAITING_CLAIMS = 4096
 """Claims that may wait for room in a group; more are turned away at once."""
 
-MAX_CLAIM_GROUP = 256
+MAX_CLAIMS_PER_GROUP = 256
 """Claims in one command of the log."""
--- a/bitterntiller/components/control/coordinator.py
+++ b/bitterntiller/components/control/coordinator.py
@@ -8,7 +8,7 @@
 
 from bitterntiller.components.control import diagnostics
 from bitterntiller.components.control.claims import claim_reply
-from bitterntiller.components.control.confirm import ConfirmBatch
+from bitterntiller.components.control.confirm import ConfirmationBatcher
 from bitterntiller.components.control.const import (
     ACTION_FIND,
     CLAIM_ORPHANED,
@@ -25,12 +25,12 @@
     TICK,
     TIME_STAMP_INTERVAL,
 )
-from bitterntiller.components.control.heartbeats import granted_reply, refused_reply
+from bitterntiller.components.control.heartbeats import granted_reply, rejected_reply
 from bitterntiller.components.control.leader import LeaderTerm
 from bitterntiller.components.control.proposals import Proposer
 from bitterntiller.components.control.services import ServiceNames
 from bitterntiller.components.control.state import ControlState
-from bitterntiller.components.control.validate import ParseConfig, find_fault
+from bitterntiller.components.control.validate import ParseConfig, find_change_error
 from bitterntiller.components.rollouts.const import LABEL_VERSION
 from bitterntiller.components.rollouts.leader import RolloutLeader
 from bitterntiller.core import events
@@ -51,18 +51,18 @@
         log: ReplicatedLog,
         state: ControlState,
         parse: ParseConfig,
-        assigns: bool = True,
+        assigns_owners: bool = True,
     ) -> None:
-        self._assigns = assigns
+        self._assigns_owners = assigns_owners
         self._runtime = runtime
         self._clock = runtime.clock
         self._timings = runtime.settings.timings
         self._log = log
         self._parse = parse
-        self._confirm = ConfirmBatch(log, CONFIRM_TIMEOUT)
+        self._confirm = ConfirmationBatcher(log, CONFIRM_TIMEOUT)
         self._proposer = Proposer(log, self._make_command)
         self._term: LeaderTerm | None = None
-        self._versions_ordered = runtime.settings.rollouts.ordered_only
+        self._ordered_versions_only = runtime.settings.rollouts.ordered_only
         self.state = state
         self.rollouts = RolloutLeader(
             state.rollouts,
@@ -70,7 +70,7 @@
             runtime.settings.rollouts,
             runtime.metrics,
             self._cluster_ms,
-            self._async_has_lead,
+            self._async_is_confirmed_leader,
             ServiceNames(state.configuration, parse).names,
             log.leader,
         )
@@ -111,7 +111,7 @@
         logging.info("control %s handed over", "was" if handed else "was not")
         events.emit("handed-over", done=handed, leader=self._log.leader())
 
-    def leading(self) -> LeaderTerm | None:
+    def leader_term(self) -> LeaderTerm | None:
         """Return the memory of the present term, None when not the leader."""
         if not self._log.is_leader():
             return None
@@ -124,55 +124,55 @@
             events.emit("leading", term=term, applied=self.state.applied)
         return self._term
 
-    async def _async_confirmed(self) -> LeaderTerm | None:
+    async def _async_confirmed_term(self) -> LeaderTerm | None:
         """Return the term in which a quorum confirmed the lead after this call."""
-        term = self.leading()
+        term = self.leader_term()
         if term is None or await self._confirm.async_confirm() is None:
             return None
         return term
 
     def _cluster_ms(self) -> int | None:
-        term = self.leading()
+        term = self.leader_term()
         return None if term is None else term.cluster_ms(self._clock.now())
 
-    async def _async_has_lead(self) -> bool:
-        return await self._async_confirmed() is not None
+    async def _async_is_confirmed_leader(self) -> bool:
+        return await self._async_confirmed_term() is not None
 
     async def async_heartbeat(self, sender: str, heartbeat: Any) -> Any:
         """Answer a messages.Heartbeat, with a lease when the lead is confirmed."""
         if not self._log.leader():
             await self._log.async_leader_known(LEADER_WAIT)
-        term = self.leading()
+        term = self.leader_term()
         if term is None:
-            return self._refuse_heartbeat(STATUS_NOT_LEADER)
-        session = term.sessions.hear(heartbeat, self._clock.now())
-        if session is None or not term.may_grant(session, session.heard):
-            return self._refuse_heartbeat(STATUS_UNKNOWN_HOST)
-        term.sessions.note_grant(session)
-        if term.directory.lacks(session):
+            return self._reject_heartbeat(STATUS_NOT_LEADER)
+        session = term.sessions.record_heartbeat(heartbeat, self._clock.now())
+        if session is None or not term.may_grant(session, session.last_heartbeat_at):
+            return self._reject_heartbeat(STATUS_UNKNOWN_HOST)
+        term.sessions.record_grant(session)
+        if term.directory.is_missing(session):
             # Told at the next look only, owners would be unknown for as long after a
             # loss of all hosts, and requests wait for them.
-            term.rebuild_directory(session.heard)
+            term.rebuild_directory(session.last_heartbeat_at)
         # Should the confirmation be that of a later term of this replica, the
         # lease still began before that term, which waits out all that did.
         if await self._confirm.async_confirm() is None:
-            return self._refuse_heartbeat(STATUS_NOT_LEADER)
+            return self._reject_heartbeat(STATUS_NOT_LEADER)
         self._runtime.metrics.count("control.heartbeat.granted")
         leader = self._log.leader()
         return granted_reply(heartbeat, term, self.state, self._timings, leader)
 
-    def _refuse_heartbeat(self, status: str) -> Any:
+    def _reject_heartbeat(self, status: str) -> Any:
         self._runtime.metrics.count(f"control.heartbeat.{status}")
-        return refused_reply(status, self._log.leader())
+        return rejected_reply(status, self._log.leader())
 
     async def async_change(self, sender: str, change: Any) -> Any:
         """Answer a messages.Change; accepted only once it is committed."""
-        if self.leading() is None:
+        if self.leader_term() is None:
             return self._change_reply(STATUS_NOT_LEADER)
         # What was decided stays so, also if the checks have become stricter.
         numbered = change.number is not None
         if numbered or change.change_id not in self.state.configuration.outcomes_by_id:
-            fault = await self._async_find_fault(change)
+            fault = await self._async_find_change_error(change)
             if fault:
                 return self._change_reply(STATUS_INVALID, fault)
         proposed = await self._proposer.async_propose(change=change)
@@ -191,11 +191,11 @@
             return self._change_reply(STATUS_UNKNOWN, text)
         return self._change_reply(proposed.status)
 
-    async def _async_find_fault(self, change: Any) -> str:
+    async def _async_find_change_error(self, change: Any) -> str:
         """Check in a thread what takes long, so that no heartbeat waits for it."""
         if len(change.config) <= LARGE_CONFIG_BYTES:
-            return find_fault(change, self._parse)
-        return await curio.run_in_thread(find_fault, change, self._parse)
+            return find_change_error(change, self._parse)
+        return await curio.run_in_thread(find_change_error, change, self._parse)
 
     def _change_reply(self, status: str, text: str = "") -> Any:
         version = self.state.configuration.version
@@ -206,7 +206,7 @@
 
     async def async_get_config(self, sender: str, request: Any) -> Any:
         """Answer a messages.GetConfig with the newest accepted configuration."""
-        if await self._async_confirmed() is None:
+        if await self._async_confirmed_term() is None:
             return messages.ConfigReply(status=STATUS_NOT_LEADER, version=0, config=b"")
         configuration = self.state.configuration
         return messages.ConfigReply(
@@ -220,18 +220,18 @@
         it; were its leaving kept in memory only, the death of this process would
         have the others send it work again.
         """
-        term = self.leading()
+        term = self.leader_term()
         if term is None:
             return self._register_reply(STATUS_NOT_LEADER)
         now = self._clock.now()
         if not self.state.upstreams.has_room_for(request.upstream.name):
             self._runtime.metrics.count(f"control.register_upstream.{STATUS_FULL}")
             return self._register_reply(STATUS_FULL)
-        news = term.registrar.hear(request.upstream, now)
+        news = term.registrar.record_announcement(request.upstream, now)
         if not news:
             return self._register_reply(STATUS_OK)
         proposed = await self._proposer.async_propose(
-            upstreams=news, settle_versions=self._versions_ordered
+            upstreams=news, settle_versions=self._ordered_versions_only
         )
         status = STATUS_OK if proposed.result is not None else proposed.status
         self._runtime.metrics.count(f"control.register_upstream.{status}")
@@ -250,11 +250,11 @@
 
     async def async_claim(self, sender: str, claim: Any) -> Any:
         """Answer a messages.Claim; taken only once it is committed."""
-        term = self.leading()
+        term = self.leader_term()
         if term is None:
             return claim_reply(STATUS_NOT_LEADER, leader=self._log.leader())
         if claim.action == ACTION_FIND:
-            if await self._async_confirmed() is None:
+            if await self._async_confirmed_term() is None:
                 return claim_reply(STATUS_NOT_LEADER, leader=self._log.leader())
             reply = self.state.claims.find(claim)
         else:
@@ -267,13 +267,13 @@
             return reply
         record = self.state.claims.record(claim)
         now = self._clock.now()
-        if record and term.holder_gone(record.host, record.incarnation, now):
+        if record and term.is_holder_dead(record.host, record.incarnation, now):
             reply.status = CLAIM_ORPHANED
         return reply
 
     async def async_release_pools(self, sender: str, release: Any) -> Any:
         """Answer a messages.ReleasePools of an owner that has stopped to act."""
-        term = self.leading()
+        term = self.leader_term()
         if term is None:
             return self._release_reply(STATUS_NOT_LEADER)
         term.sessions.drain(release.host, release.incarnation)
@@ -288,7 +288,7 @@
 
     async def async_status(self, sender: str, request: Any) -> Any:
         """Answer a messages.ControlStatus with a JSON document."""
-        term = await self._async_confirmed()
+        term = await self._async_confirmed_term()
         document = json.dumps(self.describe()).encode()
         return messages.ControlStatusReply(
             status=STATUS_OK if term else STATUS_NOT_LEADER,
@@ -299,11 +299,11 @@
     def describe(self) -> dict[str, Any]:
         """Return this part's share of the dump."""
         return diagnostics.describe(
-            self._log, self.state, self.leading(), self._timings, self._clock.now()
+            self._log, self.state, self.leader_term(), self._timings, self._clock.now()
         )
 
     def _make_command(self) -> Any:
-        term = self.leading()
+        term = self.leader_term()
         time_ms = term.cluster_ms(self._clock.now()) if term else self.state.time_ms
         return messages.Command(
             time_ms=time_ms,
@@ -315,16 +315,16 @@
         while True:
             await curio.sleep(TICK)
             await self.async_place()
-            await self._async_note_silence()
+            await self._async_commit_silence_changes()
             await self._async_stamp_time()
 
     async def async_place(self) -> None:
         """Assign pools whose owner is gone, and renew the directory."""
-        term = self.leading()
+        term = self.leader_term()
         if term is None:
             return
         plan = []
-        if self._assigns:
+        if self._assigns_owners:
             pools = self.state.configuration.document.get("services", {})
             plan = term.plan(pools, self._clock.now())
         if plan:
@@ -333,22 +333,22 @@
         if term.rebuild_directory(self._clock.now()):
             self._runtime.metrics.count("control.directory.changed")
 
-    async def _async_note_silence(self) -> None:
+    async def _async_commit_silence_changes(self) -> None:
         """Commit which upstreams have fallen silent, and which are long gone."""
-        term = self.leading()
+        term = self.leader_term()
         if term is None:
             return
-        news = term.registrar.overdue(self._clock.now())
+        news = term.registrar.silence_changes(self._clock.now())
         if news:
             states = {item.name: item.state for item in news}
             events.emit("upstream-silent", states=states, term=term.term)
             await self._proposer.async_propose(
-                upstreams=news, settle_versions=self._versions_ordered
+                upstreams=news, settle_versions=self._ordered_versions_only
             )
 
     async def _async_stamp_time(self) -> None:
         """Commit the time now and then, so that a new leader counts on from it."""
-        term = self.leading()
+        term = self.leader_term()
         if term is None:
             return
         ahead_ms = term.cluster_ms(self._clock.now()) - self.state.time_ms
--- a/bitterntiller/components/control/diagnostics.py
+++ b/bitterntiller/components/control/diagnostics.py
@@ -53,7 +53,7 @@
                 "zone": session.zone,
                 "config_version": session.config_version,
                 "draining": session.draining,
-                "heard_s_ago": round(now - session.heard, 3),
+                "heard_s_ago": round(now - session.last_heartbeat_at, 3),
             }
             for host, session in term.sessions.by_host.items()
         },
--- a/bitterntiller/components/control/directory.py
+++ b/bitterntiller/components/control/directory.py
@@ -23,7 +23,7 @@
             version=self._version, hosts=[], owners=[], partial=True
         )
 
-    def lacks(self, session: Session) -> bool:
+    def is_missing(self, session: Session) -> bool:
         """Tell whether the directory does not hold a process yet."""
         return self._incarnation_by_host.get(session.host) != session.incarnation
 
--- a/bitterntiller/components/control/heartbeats.py
+++ b/bitterntiller/components/control/heartbeats.py
@@ -4,9 +4,9 @@
 
 from bitterntiller.components.control.const import (
     HEARTBEATS_PER_SECOND,
-    LEASE_PART,
+    MIN_HEARTBEATS_PER_LEASE,
+    NEW_HOST_HEARTBEAT_INTERVAL,
     STATUS_GRANTED,
-    YOUNG_HEARTBEAT,
 )
 from bitterntiller.components.control.leader import LeaderTerm
 from bitterntiller.components.control.state import ControlState
@@ -32,7 +32,7 @@
         lease_ms=int(timings.lease * 1000),
         config_version=configuration.version,
         term=term.term,
-        next_ms=int(_pause(heartbeat, term, timings) * 1000),
+        next_ms=int(_next_interval(heartbeat, term, timings) * 1000),
     )
     if heartbeat.config_version != configuration.version:
         _add_configuration(reply, heartbeat.config_version, state)
@@ -60,27 +60,30 @@
     ]
 
 
-def _pause(heartbeat: Any, term: LeaderTerm, timings: Timings) -> float:
+def _next_interval(heartbeat: Any, term: LeaderTerm, timings: Timings) -> float:
     """Return the seconds until the next heartbeat, fewer for a host without a lease.
 
     After a loss of all hosts the first ones to be heard get a list that lacks the
     others; told of them only a whole period later, they would take other owners.
     """
     hosts = len(term.sessions.by_host)
-    usual = period(hosts, timings)
-    if not heartbeat.leased and hosts <= HEARTBEATS_PER_SECOND * YOUNG_HEARTBEAT:
-        return min(usual, YOUNG_HEARTBEAT)
+    usual = heartbeat_interval(hosts, timings)
+    if (
+        not heartbeat.leased
+        and hosts <= HEARTBEATS_PER_SECOND * NEW_HOST_HEARTBEAT_INTERVAL
+    ):
+        return min(usual, NEW_HOST_HEARTBEAT_INTERVAL)
     return usual
 
 
-def refused_reply(status: str, leader: str) -> Any:
+def rejected_reply(status: str, leader: str) -> Any:
     """Return a reply that grants nothing."""
     return messages.HeartbeatReply(
         status=status, leader=leader, lease_ms=0, config_version=0, term=0
     )
 
 
-def period(sessions: int, timings: Timings) -> float:
+def heartbeat_interval(sessions: int, timings: Timings) -> float:
     """Return the seconds between a node's heartbeats, for a number of nodes."""
     wanted = max(timings.heartbeat, sessions / HEARTBEATS_PER_SECOND)
-    return min(wanted, max(timings.heartbeat, timings.lease / LEASE_PART))
+    return min(wanted, max(timings.heartbeat, timings.lease / MIN_HEARTBEATS_PER_LEASE))
--- a/bitterntiller/components/control/leader.py
+++ b/bitterntiller/components/control/leader.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from bitterntiller.components.control.const import SESSION_AGE
+from bitterntiller.components.control.const import SESSION_TIMEOUT
 from bitterntiller.components.control.directory import DirectoryBuilder
 from bitterntiller.components.control.models import Owner, Session
 from bitterntiller.components.control.placement import plan_assignments
@@ -38,29 +38,29 @@
         elapsed_ms = int((now - self.started) * 1000)
         return max(self._state.time_ms, self._time_base_ms + elapsed_ms)
 
-    def settled(self, now: float) -> bool:
+    def owner_settle_elapsed(self, now: float) -> bool:
         """Tell whether most hosts have had the time to be heard."""
         return now - self.started >= self._timings.owner_settle
 
-    def hosts_complete(self, now: float) -> bool:
+    def owner_lease_elapsed(self, now: float) -> bool:
         """Tell whether a host not heard in this term can be taken for silent."""
         return now - self.started >= self._timings.owner_lease
 
     def rebuild_directory(self, now: float) -> bool:
         """Bring the directory up to date; tell whether it changed."""
-        self.sessions.forget(now, SESSION_AGE)
-        partial = not self.hosts_complete(now)
+        self.sessions.expire(now, SESSION_TIMEOUT)
+        partial = not self.owner_lease_elapsed(now)
         owners_by_pool = self._state.ownership.owners_by_pool
         return self.directory.rebuild(self.sessions.by_host, owners_by_pool, partial)
 
-    def is_gone(self, host: str, incarnation: str, now: float) -> bool:
+    def lease_expired(self, host: str, incarnation: str, now: float) -> bool:
         """Tell whether a process certainly can't act as an owner any more.
 
         Its lease is counted from the sending of a heartbeat that was granted, so
         from before the moment at which this or an earlier leader heard it, and
         is shorter than owner_lease.
         """
-        ungranted = self.sessions.ungranted_for(host, incarnation, now)
+        ungranted = self.sessions.seconds_since_grant(host, incarnation, now)
         return ungranted > self._timings.owner_lease
 
     def may_grant(self, session: Session, now: float) -> bool:
@@ -78,22 +78,22 @@
         owners = self._state.ownership.owners_by_pool.values()
         return all((owner.host, owner.incarnation) != process for owner in owners)
 
-    def holder_gone(self, host: str, incarnation: str, now: float) -> bool:
+    def is_holder_dead(self, host: str, incarnation: str, now: float) -> bool:
         """Tell whether the holder of a claim has died, or must be taken for dead."""
-        replaced = self.sessions.replaced(host, incarnation)
-        return replaced or self.is_gone(host, incarnation, now)
+        replaced = self.sessions.is_replaced(host, incarnation)
+        return replaced or self.lease_expired(host, incarnation, now)
 
     def plan(self, pools: Iterable[str], now: float) -> list[messages.Assignment]:
         """Return the assignments of pools that are due."""
-        if not self.settled(now):
+        if not self.owner_settle_elapsed(now):
             return []
 
-        def is_gone(owner: Owner) -> bool:
-            return self.is_gone(owner.host, owner.incarnation, now)
+        def lease_expired(owner: Owner) -> bool:
+            return self.lease_expired(owner.host, owner.incarnation, now)
 
-        hosts = self.sessions.dispatchers(now, self._timings.owner_lease)
+        hosts = self.sessions.assignable_sessions(now, self._timings.owner_lease)
         owners_by_pool = self._state.ownership.owners_by_pool
-        return plan_assignments(pools, owners_by_pool, hosts, is_gone)
+        return plan_assignments(pools, owners_by_pool, hosts, lease_expired)
 
     def in_force_version(self, now: float) -> int | None:
         """Return the version in force on all nodes that dispatch.
@@ -106,6 +106,6 @@
         versions = [
             session.config_version
             for session in self.sessions.by_host.values()
-            if now - session.heard <= lease
+            if now - session.last_heartbeat_at <= lease
         ]
         return min(versions, default=self._state.configuration.version)
--- a/bitterntiller/components/control/models.py
+++ b/bitterntiller/components/control/models.py
@@ -62,5 +62,5 @@
     roles: tuple[str, ...]
     config_version: int
     draining: bool
-    heard: float
+    last_heartbeat_at: float
     unleased_since: float | None
--- a/bitterntiller/components/control/placement.py
+++ b/bitterntiller/components/control/placement.py
@@ -13,7 +13,7 @@
     pools: Iterable[str],
     owners_by_pool: dict[str, Owner],
     hosts: dict[str, Session],
-    is_gone: Callable[[Owner], bool],
+    lease_expired: Callable[[Owner], bool],
 ) -> list[messages.Assignment]:
     """Return the assignments that are due.
 
@@ -26,7 +26,7 @@
     kept = {
         pool: owner
         for pool, owner in owners_by_pool.items()
-        if pool in wanted and not is_gone(owner)
+        if pool in wanted and not lease_expired(owner)
     }
     unused = owners_by_pool.keys() - wanted
     if not hosts:
--- a/bitterntiller/components/control/proposals.py
+++ b/bitterntiller/components/control/proposals.py
@@ -8,8 +8,8 @@
 from bitterntiller.components.control.claims import claim_reply
 from bitterntiller.components.control.const import (
     CLAIM_FULL,
-    CLAIM_GROUPS,
-    MAX_CLAIM_GROUP,
+    CONCURRENT_CLAIM_GROUPS,
+    MAX_CLAIMS_PER_GROUP,
     MAX_WAITING_CLAIMS,
     PROPOSE_TIMEOUT,
 )
@@ -20,7 +20,7 @@
 """Returns an empty messages.Command with the present times."""
 
 
-class Proposed(NamedTuple):
+class CommandOutcome(NamedTuple):
     """status is committed, not-leader or unknown; result only when committed."""
 
     status: str
@@ -36,16 +36,16 @@
         self._make_command = make_command
         self._waiting: curio.Queue = curio.Queue()
 
-    async def async_propose(self, **content: Any) -> Proposed:
+    async def async_propose(self, **content: Any) -> CommandOutcome:
         """Propose a command with one of the contents of messages.Command."""
         command = self._make_command()
         for name, value in content.items():
             setattr(command, name, value)
         outcome = await self._log.async_propose(encode(command), PROPOSE_TIMEOUT)
         if outcome.status != "committed":
-            return Proposed(outcome.status, None, outcome.leader)
+            return CommandOutcome(outcome.status, None, outcome.leader)
         result = decode(messages.CommandResult, outcome.result)
-        return Proposed(outcome.status, result, outcome.leader)
+        return CommandOutcome(outcome.status, result, outcome.leader)
 
     async def async_claim(self, claim: Any) -> Any:
         """Commit a messages.Claim and return its messages.ClaimReply.
@@ -62,13 +62,13 @@
     async def async_run(self) -> None:
         """Commit the waiting claims, some groups at a time."""
         async with curio.TaskGroup() as group:
-            for _ in range(CLAIM_GROUPS):
+            for _ in range(CONCURRENT_CLAIM_GROUPS):
                 await group.spawn(self._async_commit_groups())
 
     async def _async_commit_groups(self) -> None:
         while True:
             group = [await self._waiting.get()]
-            while not self._waiting.empty() and len(group) < MAX_CLAIM_GROUP:
+            while not self._waiting.empty() and len(group) < MAX_CLAIMS_PER_GROUP:
                 group.append(await self._waiting.get())
             await self._async_commit(group)
 
--- a/bitterntiller/components/control/registrar.py
+++ b/bitterntiller/components/control/registrar.py
@@ -21,15 +21,15 @@
         self._started = started
         self._state = state
         self._timings = timings
-        self._heard_by_name: dict[str, float] = {}
+        self._last_announced_by_name: dict[str, float] = {}
 
-    def hear(self, announcement: Any, now: float) -> list[Any]:
+    def record_announcement(self, announcement: Any, now: float) -> list[Any]:
         """Note an announcement; return what of it is new and to be committed."""
         if self._state.is_stale(announcement):
             return []
         if announcement.state != UPSTREAM_GONE:
-            self._heard_by_name[announcement.name] = now
-        if not self._state.is_news(announcement):
+            self._last_announced_by_name[announcement.name] = now
+        if not self._state.is_change(announcement):
             return []
         return [*self._displaced(announcement, now), announcement]
 
@@ -45,14 +45,14 @@
         return [
             with_state(item, UPSTREAM_GONE)
             for item in self._state.at_address(announcement.address)
-            if item.name != announcement.name and self._heard(item) < oldest
+            if item.name != announcement.name and self._last_announced(item) < oldest
         ]
 
-    def overdue(self, now: float) -> list[Any]:
+    def silence_changes(self, now: float) -> list[Any]:
         """Return the announcements that stand for silence which lasts too long."""
         news = []
         for item in self._state.by_name.values():
-            silence = now - self._heard(item)
+            silence = now - self._last_announced(item)
             if silence > self._timings.upstream_gone:
                 news.append(with_state(item, UPSTREAM_GONE))
             elif silence > self._timings.upstream_silent and is_ready(item):
@@ -60,9 +60,9 @@
         self._forget()
         return news
 
-    def _heard(self, item: Any) -> float:
-        return self._heard_by_name.get(item.name, self._started)
+    def _last_announced(self, item: Any) -> float:
+        return self._last_announced_by_name.get(item.name, self._started)
 
     def _forget(self) -> None:
-        for name in self._heard_by_name.keys() - self._state.by_name.keys():
-            del self._heard_by_name[name]
+        for name in self._last_announced_by_name.keys() - self._state.by_name.keys():
+            del self._last_announced_by_name[name]
--- a/bitterntiller/components/control/sessions.py
+++ b/bitterntiller/components/control/sessions.py
@@ -3,7 +3,10 @@
 from collections import deque
 from typing import Any
 
-from bitterntiller.components.control.const import MAX_REPLACED, ROLE_DISPATCH
+from bitterntiller.components.control.const import (
+    MAX_REPLACED_INCARNATIONS,
+    ROLE_DISPATCH,
+)
 from bitterntiller.components.control.models import Session
 
 
@@ -13,10 +16,10 @@
     def __init__(self, started: float) -> None:
         self.by_host: dict[str, Session] = {}
         self._started = started
-        self._granted: dict[tuple[str, str], float] = {}
+        self._granted_at: dict[tuple[str, str], float] = {}
         self._replaced: deque[tuple[str, str]] = deque()
 
-    def hear(self, heartbeat: Any, now: float) -> Session | None:
+    def record_heartbeat(self, heartbeat: Any, now: float) -> Session | None:
         """Note a messages.Heartbeat and return the session.
 
         None when another process of that host was heard after it: the heartbeat
@@ -32,9 +35,11 @@
         self.by_host[session.host] = session
         return session
 
-    def note_grant(self, session: Session) -> None:
+    def record_grant(self, session: Session) -> None:
         """Note that the heartbeat of this session is answered with a lease."""
-        self._granted[(session.host, session.incarnation)] = session.heard
+        self._granted_at[(session.host, session.incarnation)] = (
+            session.last_heartbeat_at
+        )
 
     def drain(self, host: str, incarnation: str) -> None:
         """Give a process no more pools; it is about to stop."""
@@ -45,24 +50,24 @@
     def _replace(self, session: Session) -> None:
         self._replaced.append((session.host, session.incarnation))
         of_host = [item for item in self._replaced if item[0] == session.host]
-        if len(of_host) > MAX_REPLACED:
+        if len(of_host) > MAX_REPLACED_INCARNATIONS:
             self._replaced.remove(of_host[0])
 
-    def ungranted_for(self, host: str, incarnation: str, now: float) -> float:
+    def seconds_since_grant(self, host: str, incarnation: str, now: float) -> float:
         """Return how many seconds ago a process got a lease at the latest.
 
         Counted from the arrival of its heartbeat. A process that got none from
         this leader may have got one from the leader before, until this one
         took over.
         """
-        return now - self._granted.get((host, incarnation), self._started)
+        return now - self._granted_at.get((host, incarnation), self._started)
 
-    def replaced(self, host: str, incarnation: str) -> bool:
+    def is_replaced(self, host: str, incarnation: str) -> bool:
         """Tell whether another process of the host is known by now."""
         session = self.by_host.get(host)
         return session is not None and session.incarnation != incarnation
 
-    def dispatchers(self, now: float, within: float) -> dict[str, Session]:
+    def assignable_sessions(self, now: float, within: float) -> dict[str, Session]:
         """Return the sessions that may be given pools, by host."""
         return {
             host: session
@@ -70,17 +75,21 @@
             if ROLE_DISPATCH in session.roles
             and not session.draining
             and session.unleased_since is None
-            and now - session.heard <= within
+            and now - session.last_heartbeat_at <= within
         }
 
-    def forget(self, now: float, after: float) -> None:
+    def expire(self, now: float, after: float) -> None:
         """Drop the sessions that were silent for more than so many seconds."""
-        gone = [host for host, item in self.by_host.items() if now - item.heard > after]
+        gone = [
+            host
+            for host, item in self.by_host.items()
+            if now - item.last_heartbeat_at > after
+        ]
         for host in gone:
             del self.by_host[host]
-        for process, heard in list(self._granted.items()):
-            if now - heard > after:
-                del self._granted[process]
+        for process, granted_at in list(self._granted_at.items()):
+            if now - granted_at > after:
+                del self._granted_at[process]
 
 
 def _session(heartbeat: Any, before: Session | None, now: float) -> Session:
@@ -96,6 +105,6 @@
         roles=tuple(heartbeat.roles),
         config_version=heartbeat.config_version,
         draining=heartbeat.draining,
-        heard=now,
+        last_heartbeat_at=now,
         unleased_since=unleased_since,
     )
--- a/bitterntiller/components/control/state.py
+++ b/bitterntiller/components/control/state.py
@@ -34,8 +34,8 @@
         # not shrink, or a dropped outcome could be wanted again.
         self.time_ms = max(self.time_ms, message.time_ms)
         self.applied = index
-        self.configuration.forget(message.forget_changes_ms)
-        self.claims.forget(message.forget_claims_ms)
+        self.configuration.expire(message.forget_changes_ms)
+        self.claims.expire(message.forget_claims_ms)
         return encode(self._apply(index, message))
 
     def _apply(self, index: int, message: Any) -> Any:
--- a/bitterntiller/components/control/upstreams.py
+++ b/bitterntiller/components/control/upstreams.py
@@ -13,10 +13,10 @@
 from typing import Any
 
 from bitterntiller.components.control.const import (
-    EVERY_INCARNATION,
+    ALL_INCARNATIONS,
     MAX_GONE_UPSTREAMS,
     MAX_UPSTREAMS,
-    UNSTATED_INCARNATION,
+    UNSPECIFIED_INCARNATION,
     UPSTREAM_GONE,
     UPSTREAM_READY,
     UPSTREAM_SILENT,
@@ -48,17 +48,17 @@
         if self.is_stale(announcement):
             return False
         if announcement.state == UPSTREAM_GONE:
-            self._note_gone(announcement)
+            self._record_gone(announcement)
             return self.by_name.pop(name, None) is not None
         self.by_name[name] = announcement
         return True
 
-    def _note_gone(self, departure: Any) -> None:
+    def _record_gone(self, departure: Any) -> None:
         """Remember which incarnation has gone, so that no late word revives it."""
         incarnation = departure.incarnation
-        if incarnation == UNSTATED_INCARNATION:
+        if incarnation == UNSPECIFIED_INCARNATION:
             known = self.by_name.get(departure.name)
-            incarnation = EVERY_INCARNATION if known is None else known.incarnation
+            incarnation = ALL_INCARNATIONS if known is None else known.incarnation
         gone = self._gone_incarnation_by_name
         gone[departure.name] = max(incarnation, gone.get(departure.name, incarnation))
         while len(gone) > MAX_GONE_UPSTREAMS:
@@ -73,7 +73,7 @@
         """
         known = self.by_name.get(announcement.name)
         incarnation = announcement.incarnation
-        if incarnation == UNSTATED_INCARNATION and known is not None:
+        if incarnation == UNSPECIFIED_INCARNATION and known is not None:
             incarnation = known.incarnation
         gone = self._gone_incarnation_by_name.get(announcement.name)
         if gone is not None and incarnation <= gone:
@@ -86,7 +86,7 @@
             return announcement.sequence < known.sequence
         return announcement.sequence <= known.sequence
 
-    def is_news(self, announcement: Any) -> bool:
+    def is_change(self, announcement: Any) -> bool:
         """Tell whether an announcement changes what hosts must agree on."""
         known = self.by_name.get(announcement.name)
         if known is None:
@@ -145,7 +145,7 @@
 def _gone_incarnation(item: Any) -> tuple[str, int]:
     """Return a name and its last incarnation; older snapshots hold the name alone."""
     if isinstance(item, str):
-        return item, EVERY_INCARNATION
+        return item, ALL_INCARNATIONS
     name, incarnation = item
     return name, incarnation
 
--- a/bitterntiller/components/control/validate.py
+++ b/bitterntiller/components/control/validate.py
@@ -15,7 +15,7 @@
 """Takes a document and its version; raises a CodedError for a bad one."""
 
 
-def find_fault(change: Any, parse: ParseConfig) -> str:
+def find_change_error(change: Any, parse: ParseConfig) -> str:
     """Return what is wrong with a messages.Change; empty when nothing is."""
     if not 0 < len(change.change_id) <= MAX_ID_LENGTH:
         return f"a change id has 1 to {MAX_ID_LENGTH} characters"
--- a/bitterntiller/components/entry/__init__.py
+++ b/bitterntiller/components/entry/__init__.py
@@ -16,7 +16,7 @@
 from bitterntiller.components.entry.retry_budget import RetryBudget
 from bitterntiller.components.http.pool import ConnectionPool
 from bitterntiller.components.node.coordinator import NodeCoordinator
-from bitterntiller.components.node.owners import DerivedOwners
+from bitterntiller.components.node.owners import RendezvousOwners
 from bitterntiller.components.settings.const import ROLE_ENTRY
 from bitterntiller.core.interfaces import (
     ConfigView,
@@ -58,7 +58,7 @@
 async def async_setup_routed(
     runtime: Runtime,
     session: NodeCoordinator,
-    owners: DerivedOwners,
+    owners: RendezvousOwners,
     interface: Interface,
     retries: RetryBounds,
     crashes: CrashWatch,
--- a/bitterntiller/components/entry/owner_watch.py
+++ b/bitterntiller/components/entry/owner_watch.py
@@ -11,7 +11,7 @@
 from bitterntiller.components.entry.registry import RequestRegistry
 from bitterntiller.components.entry.report_schedule import report_due
 from bitterntiller.components.links.errors import LinkError
-from bitterntiller.components.node.owners import DerivedOwners
+from bitterntiller.components.node.owners import RendezvousOwners
 from bitterntiller.core import events
 from bitterntiller.core.interfaces import ConfigView, Ownership
 from bitterntiller.core.runtime import Runtime
@@ -36,7 +36,7 @@
     def __init__(
         self,
         runtime: Runtime,
-        owners: DerivedOwners,
+        owners: RendezvousOwners,
         config: ConfigView,
         account: QuotaAccount,
         client: QuotaClient,
@@ -162,7 +162,7 @@
             if to_counter:
                 self._account.note_acknowledged(process, told)
                 self._account.take_levels(reply.levels)
-        if self._owners.note_answer(owner.host, reply.incarnation):
+        if self._owners.record_answer(owner.host, reply.incarnation):
             # What it was told as another process is told anew at once.
             self._reported_at_by_host.pop(owner.host, None)
             events.emit(
--- a/bitterntiller/components/node/client.py
+++ b/bitterntiller/components/node/client.py
@@ -28,7 +28,7 @@
         self._position = 0
         self.leader = addresses[0] if addresses else ""
 
-    def set_known(self, addresses: list[str]) -> None:
+    def set_discovered(self, addresses: list[str]) -> None:
         """Try these hosts of control too, besides those of the settings."""
         self._addresses = list(dict.fromkeys([*addresses, *self._seeds]))
 
@@ -36,7 +36,7 @@
         """Replace the hosts that the settings name; for changed settings."""
         known = [item for item in self._addresses if item not in self._seeds]
         self._seeds = addresses
-        self.set_known(known)
+        self.set_discovered(known)
 
     async def async_call_leader(self, message: Any, timeout: float) -> Any:
         """Return the leader's reply to a message, within timeout seconds.
@@ -71,10 +71,10 @@
         try:
             reply = await self._links.async_call(address, message, timeout)
         except CodedError:
-            self._turn_from(address, "")
+            self._advance_leader(address, "")
             return None
         if reply.status == STATUS_NOT_LEADER:
-            self._turn_from(address, getattr(reply, "leader", ""))
+            self._advance_leader(address, getattr(reply, "leader", ""))
         return reply
 
     async def async_call_all(self, message: Any, status: str, timeout: float) -> Any:
@@ -111,7 +111,7 @@
             self.leader = address
         return reply
 
-    def _turn_from(self, address: str, hint: str) -> None:
+    def _advance_leader(self, address: str, hint: str) -> None:
         """Take the hinted host for the leader, or the next of the known ones."""
         if self.leader != address:
             return
--- a/bitterntiller/components/node/configuration.py
+++ b/bitterntiller/components/node/configuration.py
@@ -43,7 +43,7 @@
 
     def apply(self, reply: Any) -> bool:
         """Apply what a messages.HeartbeatReply carries; tell if it changed."""
-        return self.put(self.prepare(reply))
+        return self.activate(self.prepare(reply))
 
     def prepare(self, reply: Any) -> Prepared | None:
         """Parse what a messages.HeartbeatReply carries; None for nothing newer.
@@ -74,7 +74,7 @@
     def _parsed(self, document: dict[str, Any], version: int) -> Prepared:
         return Prepared(document, self._parse(document, version))
 
-    def is_large(self, reply: Any) -> bool:
+    def should_parse_in_thread(self, reply: Any) -> bool:
         """Tell whether preparing a messages.HeartbeatReply takes milliseconds."""
         if reply.config_version <= self.version:
             return False
@@ -83,7 +83,7 @@
         workspaces = self._document.get(CONF_WORKSPACES, {})
         return len(workspaces) > LARGE_CONFIG_WORKSPACES
 
-    def put(self, prepared: Prepared | None) -> bool:
+    def activate(self, prepared: Prepared | None) -> bool:
         """Put a configuration in force; False for none, or an older one."""
         if prepared is None or prepared.config.version <= self.version:
             return False
--- a/bitterntiller/components/node/coordinator.py
+++ b/bitterntiller/components/node/coordinator.py
@@ -52,9 +52,9 @@
         self._clock = runtime.clock
         self._timings = runtime.settings.timings
         self._draining = False
-        self._want_whole = False
+        self._request_full_config = False
         self._period = self._timings.heartbeat
-        self._had_lease = False
+        self._reported_lease_valid = False
         self._listeners_by_kind: dict[str, list[Listener]] = {
             "config": [],
             "directory": [],
@@ -122,31 +122,31 @@
         failures = 0
         while True:
             began = self._clock.now()
-            granted = await self.async_beat()
-            self._note_lease()
+            granted = await self.async_send_heartbeat()
+            self._report_lease_change()
             failures = 0 if granted else failures + 1
-            await curio.sleep(self._pause(began, failures))
+            await curio.sleep(self._next_delay(began, failures))
 
-    def _pause(self, began: float, failures: int) -> float:
+    def _next_delay(self, began: float, failures: int) -> float:
         if failures:
             longest = MAX_RETRY_PAUSE if self.lease.valid() else RETRY_PAUSE
             pause = min(RETRY_PAUSE * failures, longest)
             return random.uniform(pause / 2, pause)
         return max(began + self._period - self._clock.now(), 0.0)
 
-    async def async_beat(self) -> bool:
+    async def async_send_heartbeat(self) -> bool:
         """Send one heartbeat; tell whether the lease was extended by it."""
         sent_at = self._clock.now()
-        reply = await self._async_ask_control()
+        reply = await self._async_call_control()
         if reply is None or reply.status != STATUS_GRANTED:
             self._runtime.metrics.count("node.heartbeat.failed")
             return False
-        if not self.config.is_large(reply):
-            return self.take_reply(reply, sent_at)
+        if not self.config.should_parse_in_thread(reply):
+            return self.apply_reply(reply, sent_at)
         prepared = await curio.run_in_thread(self._prepare, reply)
-        return self._take_prepared(reply, sent_at, prepared)
+        return self._apply_prepared(reply, sent_at, prepared)
 
-    async def _async_ask_control(self) -> Any:
+    async def _async_call_control(self) -> Any:
         """Return the reply to a heartbeat of the present time, None without one.
 
         Without a lease all hosts of control are asked: none of them is known to lead,
@@ -168,7 +168,7 @@
             address=str(settings.listen.reached_at),
             zone=settings.zone,
             roles=list(settings.roles),
-            config_version=-1 if self._want_whole else self.config.version,
+            config_version=-1 if self._request_full_config else self.config.version,
             directory_version=self.directory.version,
             draining=self._draining,
             leased=self.lease.valid(),
@@ -176,14 +176,14 @@
             rollouts_version=self.versions.version,
         )
 
-    def take_reply(self, reply: Any, sent_at: float) -> bool:
+    def apply_reply(self, reply: Any, sent_at: float) -> bool:
         """Take a granting messages.HeartbeatReply; tell if it extends the lease.
 
         The lease is for the configuration that the reply stands for: were it
         extended though the configuration can't be applied, this node would go
         on under an old one for as long as control is reached.
         """
-        return self._take_prepared(reply, sent_at, self._prepare(reply))
+        return self._apply_prepared(reply, sent_at, self._prepare(reply))
 
     def _prepare(self, reply: Any) -> _Preparation:
         """Parse the configuration of a reply; may run in a thread."""
@@ -191,7 +191,7 @@
             return _Preparation(True, self.config.prepare(reply))
         except ConfigGapError as error:
             logging.warning("asking for the whole configuration: %s", error)
-            self._want_whole = True
+            self._request_full_config = True
         except (CodedError, ValueError) as error:
             logging.error(
                 "configuration %d not usable: %s", reply.config_version, error
@@ -199,19 +199,19 @@
             self._runtime.metrics.count("node.config.unusable")
         return _Preparation(False, None)
 
-    def _take_prepared(
+    def _apply_prepared(
         self, reply: Any, sent_at: float, preparation: _Preparation
     ) -> bool:
         if not preparation.usable:
             return False
-        config_changed = self.config.put(preparation.prepared)
-        self._want_whole = False
+        config_changed = self.config.activate(preparation.prepared)
+        self._request_full_config = False
         self._period = (reply.next_ms or 0) / 1000 or self._timings.heartbeat
         # Looked at only after its renewal, a lease that ended meanwhile would show
         # nowhere but in the requests that were refused.
-        self._note_lease()
+        self._report_lease_change()
         self.lease.extend(sent_at, reply.lease_ms)
-        self._note_lease()
+        self._report_lease_change()
         if config_changed:
             self._runtime.metrics.gauge("node.config.version", self.config.version)
             events.emit("configuration", version=self.config.version, term=reply.term)
@@ -219,14 +219,14 @@
         if self.versions.apply(reply.rollouts):
             events.emit("versions", **self.versions.describe())
         if self.upstreams.apply(reply.upstreams):
-            self._tell_upstreams()
+            self._emit_upstreams()
             self._notify("upstreams")
         if self.directory.apply(reply.directory):
-            self.control_client.set_known(self._control_addresses())
+            self.control_client.set_discovered(self._control_addresses())
             self._notify("directory")
         return True
 
-    def _tell_upstreams(self) -> None:
+    def _emit_upstreams(self) -> None:
         events.emit(
             "upstreams",
             version=self.upstreams.version,
@@ -241,10 +241,10 @@
         for listener in list(self._listeners_by_kind[kind]):
             listener()
 
-    def _note_lease(self) -> None:
+    def _report_lease_change(self) -> None:
         valid = self.lease.valid()
-        if valid != self._had_lease:
-            self._had_lease = valid
+        if valid != self._reported_lease_valid:
+            self._reported_lease_valid = valid
             logging.info("configuration lease %s", "held" if valid else "lost")
             events.emit("lease", held=valid, leader=self.control_client.leader)
             self._runtime.metrics.gauge("node.lease.valid", int(valid))
--- a/bitterntiller/components/node/owners.py
+++ b/bitterntiller/components/node/owners.py
@@ -18,7 +18,7 @@
 from bitterntiller.core.interfaces import DirectoryView, Ownership
 
 
-class DerivedOwners:
+class RendezvousOwners:
     """Owners by rendezvous over the hosts that are not under suspicion.
 
     A core DirectoryView. Hosts of control go first, as they have no callers of their
@@ -60,7 +60,7 @@
             self._order_by_pool[pool] = order
         return order
 
-    def note_answer(self, host: str, incarnation: str) -> bool:
+    def record_answer(self, host: str, incarnation: str) -> bool:
         """Take note that a host answers; tell whether that is news."""
         news = host in self._suspects
         news = news or self._incarnation_by_host.get(host) != incarnation
@@ -84,7 +84,7 @@
         return host in self._suspects
 
 
-class OwnOwner:
+class SelfOwner:
     """Names this process the owner of every pool; a core DirectoryView.
 
     Where entry hosts choose their owners, a process acts for whoever turns to it.
--- a/bitterntiller/components/node/upstreams.py
+++ b/bitterntiller/components/node/upstreams.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-MOST_GONE = 1000
+MAX_REMOVED_UPSTREAMS = 1000
 """Names of upstreams that were listed once and are remembered: far more than leave
 while an owner may still grant by an old list."""
 
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         self.version = 0
         self.by_name: dict[str, Any] = {}
-        self._gone: dict[str, None] = {}
+        self._removed: dict[str, None] = {}
 
     def apply(self, listed: Any) -> bool:
         """Take a messages.UpstreamList; tell whether it is newer than the one held.
@@ -29,11 +29,11 @@
         self.version = listed.version
         before = self.by_name
         self.by_name = {item.name: item for item in listed.upstreams}
-        self._gone.update(dict.fromkeys(before.keys() - self.by_name.keys()))
-        for name in self._gone.keys() & self.by_name.keys():
-            del self._gone[name]
-        while len(self._gone) > MOST_GONE:
-            del self._gone[next(iter(self._gone))]
+        self._removed.update(dict.fromkeys(before.keys() - self.by_name.keys()))
+        for name in self._removed.keys() & self.by_name.keys():
+            del self._removed[name]
+        while len(self._removed) > MAX_REMOVED_UPSTREAMS:
+            del self._removed[next(iter(self._removed))]
         return True
 
     def labels(self, name: str) -> Mapping[str, str]:
@@ -45,5 +45,5 @@
         """Tell whether an upstream leaves or has left; False for an unheard one."""
         announced = self.by_name.get(name)
         if announced is None:
-            return name in self._gone
+            return name in self._removed
         return announced.state == STATE_LEAVING
--- a/tests/components/control/mutations.py
+++ b/tests/components/control/mutations.py
@@ -4,7 +4,7 @@
 
 from bitterntiller.components.control import claims, leader, ownership, sessions
 from bitterntiller.components.control.configuration import ConfigurationState
-from bitterntiller.components.control.confirm import ConfirmBatch
+from bitterntiller.components.control.confirm import ConfirmationBatcher
 from bitterntiller.components.node import lease
 from bitterntiller.components.node.configuration import NodeConfig
 from bitterntiller.components.node.coordinator import NodeCoordinator
@@ -13,11 +13,11 @@
 
 
 def lease_counted_from_receipt(patch):
-    take_reply = NodeCoordinator.take_reply
+    apply_reply = NodeCoordinator.apply_reply
     patch.setattr(
         NodeCoordinator,
-        "take_reply",
-        lambda self, reply, sent_at: take_reply(self, reply, self._clock.now()),
+        "apply_reply",
+        lambda self, reply, sent_at: apply_reply(self, reply, self._clock.now()),
     )
 
 
@@ -29,7 +29,7 @@
     async def confirm(self):
         return 1
 
-    patch.setattr(ConfirmBatch, "async_confirm", confirm)
+    patch.setattr(ConfirmationBatcher, "async_confirm", confirm)
 
 
 def confirmation_under_way_shared(patch):
@@ -41,8 +41,8 @@
         await current.done.wait()
         return current.index
 
-    patch.setattr(ConfirmBatch, "current", None, raising=False)
-    patch.setattr(ConfirmBatch, "async_confirm", confirm)
+    patch.setattr(ConfirmationBatcher, "current", None, raising=False)
+    patch.setattr(ConfirmationBatcher, "async_confirm", confirm)
 
 
 def lower_version_applied(patch):
@@ -51,14 +51,14 @@
             return self._parsed(json.loads(reply.config), reply.config_version)
         return original(self, reply)
 
-    def put(self, prepared):
+    def activate(self, prepared):
         if prepared is not None:
             self._document, self._config = prepared
         return prepared is not None
 
     original = NodeConfig.prepare
     patch.setattr(NodeConfig, "prepare", prepare)
-    patch.setattr(NodeConfig, "put", put)
+    patch.setattr(NodeConfig, "activate", activate)
 
 
 def gap_in_versions_ignored(patch):
@@ -73,7 +73,7 @@
 
 
 def outcomes_not_recorded(patch):
-    patch.setattr(ConfigurationState, "_record", lambda *args: None)
+    patch.setattr(ConfigurationState, "_record_outcome", lambda *args: None)
 
 
 def base_version_not_checked(patch):
@@ -86,26 +86,26 @@
 
 
 def owners_gone_at_takeover(patch):
-    def ungranted_for(self, host, incarnation, now):
-        return now - self._granted.get((host, incarnation), float("-inf"))
+    def seconds_since_grant(self, host, incarnation, now):
+        return now - self._granted_at.get((host, incarnation), float("-inf"))
 
-    patch.setattr(sessions.SessionTable, "ungranted_for", ungranted_for)
+    patch.setattr(sessions.SessionTable, "seconds_since_grant", seconds_since_grant)
 
 
 def owner_lease_not_waited_out(patch):
-    def is_gone(self, host, incarnation, now):
-        return self.sessions.ungranted_for(host, incarnation, now) > 1.0
+    def lease_expired(self, host, incarnation, now):
+        return self.sessions.seconds_since_grant(host, incarnation, now) > 1.0
 
-    patch.setattr(leader.LeaderTerm, "is_gone", is_gone)
+    patch.setattr(leader.LeaderTerm, "lease_expired", lease_expired)
 
 
 def owner_replaced_at_once(patch):
-    def is_gone(self, host, incarnation, now):
-        gone = self.sessions.replaced(host, incarnation)
+    def lease_expired(self, host, incarnation, now):
+        gone = self.sessions.is_replaced(host, incarnation)
         return gone or original(self, host, incarnation, now)
 
-    original = leader.LeaderTerm.is_gone
-    patch.setattr(leader.LeaderTerm, "is_gone", is_gone)
+    original = leader.LeaderTerm.lease_expired
+    patch.setattr(leader.LeaderTerm, "lease_expired", lease_expired)
 
 
 def expected_epoch_not_checked(patch):
--- a/tests/components/control/schedules.py
+++ b/tests/components/control/schedules.py
@@ -137,7 +137,7 @@
 
     def _deliver(self, item):
         process, reply, sent_at = item
-        process.take_reply(reply, sent_at)
+        process.apply_reply(reply, sent_at)
 
     async def async_drop(self):
         if self.replies:
--- a/tests/components/control/test_coordinator.py
+++ b/tests/components/control/test_coordinator.py
@@ -2,7 +2,7 @@
 
 import curio
 
-from bitterntiller.components.control.confirm import ConfirmBatch
+from bitterntiller.components.control.confirm import ConfirmationBatcher
 from bitterntiller.core.clock import ManualClock
 
 from .builders import (
@@ -29,7 +29,7 @@
 
 async def second_waits_for_its_own():
     log = HeldLog()
-    batch = ConfirmBatch(log, 1.0)
+    batch = ConfirmationBatcher(log, 1.0)
     run = await curio.spawn(batch.async_run)
     first = await curio.spawn(batch.async_confirm)
     await curio.sleep(0.01)
@@ -197,8 +197,8 @@
     async def main(control, log, clock):
         log.index = 1
         control.state.apply(1, make_command(time_ms=9_000_000))
-        assert control.leading().cluster_ms(clock.now()) == 9_000_000
+        assert control.leader_term().cluster_ms(clock.now()) == 9_000_000
         clock.advance(2)
-        assert control.leading().cluster_ms(clock.now()) == 9_002_000
+        assert control.leader_term().cluster_ms(clock.now()) == 9_002_000
 
     run_control(main)
--- a/tests/components/control/test_parts.py
+++ b/tests/components/control/test_parts.py
@@ -37,9 +37,12 @@
 def place(owners, *hosts, gone=()):
     table = SessionTable(0.0)
     for host in hosts:
-        table.hear(make_heartbeat(host, leased=True), 0.0)
+        table.record_heartbeat(make_heartbeat(host, leased=True), 0.0)
     plan = plan_assignments(
-        POOLS, owners, table.dispatchers(0.0, 4.0), lambda item: item.host in gone
+        POOLS,
+        owners,
+        table.assignable_sessions(0.0, 4.0),
+        lambda item: item.host in gone,
     )
     changed = {item.pool: Owner(item.host, "a", item.address, 1) for item in plan}
     return {**owners, **changed}, len(plan)
--- a/tests/components/control/test_thin_path.py
+++ b/tests/components/control/test_thin_path.py
@@ -47,7 +47,9 @@
         runtime = make_runtime(RuntimeClock(), data_folder=tmp_path)
         async with runtime.stack:
             coordinator = await control.async_setup(runtime, replication.async_setup)
-            await wait_for(lambda: coordinator.state.applied or coordinator.leading())
+            await wait_for(
+                lambda: coordinator.state.applied or coordinator.leader_term()
+            )
             change = make_change(change_id, 0, DOCUMENT)
             reply = await coordinator.async_change("kirkos-1", change)
             assert (reply.status, reply.version) == expected
--- a/tests/components/control/test_upstreams.py
+++ b/tests/components/control/test_upstreams.py
@@ -3,7 +3,10 @@
 import json
 from typing import Any
 
-from bitterntiller.components.control.const import MAX_UPSTREAMS, UNSTATED_INCARNATION
+from bitterntiller.components.control.const import (
+    MAX_UPSTREAMS,
+    UNSPECIFIED_INCARNATION,
+)
 from bitterntiller.components.control.registrar import Registrar
 from bitterntiller.components.control.state import ControlState
 from bitterntiller.components.control.upstreams import UpstreamsState
@@ -61,9 +64,11 @@
     """
     state = UpstreamsState()
     registrar = Registrar(0.0, state, TIMINGS)
-    state.apply(1, registrar.hear(announce(sequence=40, incarnation=5), 1.0))
+    state.apply(
+        1, registrar.record_announcement(announce(sequence=40, incarnation=5), 1.0)
+    )
     again = announce(sequence=1, incarnation=9)
-    state.apply(2, registrar.hear(again, 2.0))
+    state.apply(2, registrar.record_announcement(again, 2.0))
     assert state.by_name["e1"] is again
     assert state.version == 2
 
@@ -100,7 +105,7 @@
 def test_departure_of_no_stated_life_ends_the_one_that_is_known():
     state = UpstreamsState()
     state.apply(1, [announce(sequence=4, incarnation=5)])
-    gone = announce(sequence=2**62, incarnation=UNSTATED_INCARNATION, state="gone")
+    gone = announce(sequence=2**62, incarnation=UNSPECIFIED_INCARNATION, state="gone")
     state.apply(2, [gone])
     assert states(state) == {}
     assert state.is_stale(announce(sequence=5, incarnation=5))
@@ -111,7 +116,7 @@
     """A late announcement revives an upstream whose departure was acknowledged."""
     state = UpstreamsState()
     state.apply(
-        1, [announce(sequence=2**62, incarnation=UNSTATED_INCARNATION, state="gone")]
+        1, [announce(sequence=2**62, incarnation=UNSPECIFIED_INCARNATION, state="gone")]
     )
     assert state.is_stale(announce(sequence=5, incarnation=5))
 
@@ -156,24 +161,26 @@
     state = UpstreamsState()
     registrar = Registrar(0.0, state, TIMINGS)
     first = announce()
-    assert registrar.hear(first, 1.0) == [first]
+    assert registrar.record_announcement(first, 1.0) == [first]
     state.apply(1, [first])
-    assert registrar.hear(announce(sequence=2), 2.0) == []
-    assert registrar.hear(announce(sequence=3, state="leaving"), 3.0) != []
+    assert registrar.record_announcement(announce(sequence=2), 2.0) == []
+    assert (
+        registrar.record_announcement(announce(sequence=3, state="leaving"), 3.0) != []
+    )
 
 
 def test_silence_is_told_once_and_ends_with_the_next_announcement():
     """An upstream that lost its power is sent requests for as long as it is listed."""
     state = UpstreamsState()
     registrar = Registrar(0.0, state, TIMINGS)
-    state.apply(1, registrar.hear(announce(), 1.0))
-    assert registrar.overdue(4.0) == []
-    state.apply(2, registrar.overdue(5.5))
+    state.apply(1, registrar.record_announcement(announce(), 1.0))
+    assert registrar.silence_changes(4.0) == []
+    state.apply(2, registrar.silence_changes(5.5))
     assert states(state) == {"e1": "silent"}
-    assert registrar.overdue(6.0) == []
-    state.apply(3, registrar.hear(announce(sequence=2), 7.0))
+    assert registrar.silence_changes(6.0) == []
+    state.apply(3, registrar.record_announcement(announce(sequence=2), 7.0))
     assert states(state) == {"e1": "ready"}
-    state.apply(4, registrar.overdue(40.0))
+    state.apply(4, registrar.silence_changes(40.0))
     assert states(state) == {}
 
 
@@ -184,17 +191,17 @@
     """
     state = UpstreamsState()
     state.apply(1, [announce()])
-    assert Registrar(100.0, state, TIMINGS).overdue(103.9) == []
+    assert Registrar(100.0, state, TIMINGS).silence_changes(103.9) == []
 
 
 def test_address_is_taken_over_from_a_silent_upstream_only():
     """A delayed announcement of a dead upstream pushes out who has its address now."""
     state = UpstreamsState()
     registrar = Registrar(0.0, state, TIMINGS)
-    state.apply(1, registrar.hear(announce("old"), 1.0))
-    state.apply(2, registrar.hear(announce("new"), 2.0))
+    state.apply(1, registrar.record_announcement(announce("old"), 1.0))
+    state.apply(2, registrar.record_announcement(announce("new"), 2.0))
     assert states(state) == {"old": "ready", "new": "ready"}
-    state.apply(3, registrar.hear(announce("newest"), 9.0))
+    state.apply(3, registrar.record_announcement(announce("newest"), 9.0))
     assert states(state) == {"newest": "ready"}
 
 
--- a/tests/components/control/test_waiting_heartbeats.py
+++ b/tests/components/control/test_waiting_heartbeats.py
@@ -31,7 +31,7 @@
         await control.async_start(tick=False)
         async with control._runtime.stack:
             node = make_node(clock, network)
-            beat = await curio.spawn(node.async_beat)
+            beat = await curio.spawn(node.async_send_heartbeat)
             await curio.sleep(0.02)
             assert not beat.terminated
             await elected.set()
@@ -51,7 +51,7 @@
         await control.async_start(tick=False)
         async with control._runtime.stack:
             node = make_node(clock, network)
-            assert not await node.async_beat()
+            assert not await node.async_send_heartbeat()
 
     curio.run(run)
 
@@ -68,7 +68,7 @@
         await control.async_start(tick=False)
         async with control._runtime.stack:
             node = make_node(clock, network)
-            assert await node.async_beat()
+            assert await node.async_send_heartbeat()
             assert set(node.hosts_by_name) == {node.make_heartbeat().host}
 
     curio.run(run)
--- a/tests/components/node/test_coordinator.py
+++ b/tests/components/node/test_coordinator.py
@@ -42,7 +42,7 @@
 
     async def main(control, node, clock, network):
         await async_change(control, 1)
-        assert await node.async_beat()
+        assert await node.async_send_heartbeat()
         assert (node.config.version, node.lease.valid()) == (1, True)
         network.cut.add("10.0.0.1:7000")
         for number in range(2, 502):
@@ -50,9 +50,9 @@
         clock.advance(2.98)
         assert not node.lease.valid()
         clock.advance(7200)
-        assert not await node.async_beat()
+        assert not await node.async_send_heartbeat()
         network.cut.clear()
-        assert await node.async_beat()
+        assert await node.async_send_heartbeat()
         assert (node.config.version, node.lease.valid()) == (501, True)
 
     run_pair(main)
@@ -68,7 +68,7 @@
         sent_at = clock.now()
         reply = await control.async_heartbeat("kirkos-1", node.make_heartbeat())
         clock.advance(60)
-        assert node.take_reply(reply, sent_at)
+        assert node.apply_reply(reply, sent_at)
         assert not node.lease.valid()
 
     run_pair(main)
@@ -93,7 +93,7 @@
             change = make_change(f"c{number}", number, {"workspaces": workspaces})
             reply = await control.async_change("operator", change)
             assert reply.status == "accepted"
-            assert await node.async_beat()
+            assert await node.async_send_heartbeat()
         assert node.config.version == 2
         assert threads == [False] * 4
 
@@ -105,16 +105,16 @@
         heard = []
         remove = node.add_config_listener(lambda: heard.append(node.config.version))
         await async_change(control, 1)
-        await node.async_beat()
+        await node.async_send_heartbeat()
         await async_change(control, 2)
         await async_change(control, 3)
         reply = await control.async_heartbeat("kirkos-1", node.make_heartbeat())
         assert reply.config is None
         assert [change.version for change in reply.changes] == [2, 3]
-        assert node.take_reply(reply, clock.now())
+        assert node.apply_reply(reply, clock.now())
         remove()
         await async_change(control, 4)
-        await node.async_beat()
+        await node.async_send_heartbeat()
         assert (heard, node.config.version) == ([1, 3], 4)
 
     run_pair(main)
@@ -131,7 +131,7 @@
         control._parse = lambda document, version: None
         change = make_change("c1", 0, {"bad": True})
         assert (await control.async_change("operator", change)).status == "accepted"
-        assert not await node.async_beat()
+        assert not await node.async_send_heartbeat()
         assert (node.config.version, node.lease.valid()) == (0, False)
 
     run_pair(main)
@@ -147,11 +147,11 @@
             changes=[messages.ConfigChange(version=2, patch=b"{}")],
             term=1,
         )
-        assert not node.take_reply(gap, clock.now())
+        assert not node.apply_reply(gap, clock.now())
         assert (node.config.version, node.lease.valid()) == (0, False)
         assert node.make_heartbeat().config_version == -1
         await async_change(control, 1)
-        assert await node.async_beat()
+        assert await node.async_send_heartbeat()
         assert node.config.version == 1
 
     run_pair(main)
@@ -221,10 +221,10 @@
 
     async def main(control, node, clock, network):
         await async_change(control, 1)
-        assert await node.async_beat()
+        assert await node.async_send_heartbeat()
         clock.advance(2.98)
         assert not node.lease.valid()
-        assert await node.async_beat()
+        assert await node.async_send_heartbeat()
         leases = [held for kind, held in told if kind == "lease"]
         assert leases == [True, False, True]
 
--- a/tests/components/node/test_owners.py
+++ b/tests/components/node/test_owners.py
@@ -1,7 +1,7 @@
 """Owners of pools that follow from membership."""
 
 from bitterntiller.components.node.models import Host
-from bitterntiller.components.node.owners import DerivedOwners
+from bitterntiller.components.node.owners import RendezvousOwners
 
 CORE = ("core-a", "core-b", "core-c")
 EDGES = ("edge-a", "edge-b")
@@ -22,26 +22,26 @@
 
 def test_all_who_see_the_same_hosts_agree():
     pools = [f"pool-{number}" for number in range(40)]
-    chosen = [DerivedOwners(Directory()).owner(pool).host for pool in pools]
-    assert chosen == [DerivedOwners(Directory()).owner(pool).host for pool in pools]
+    chosen = [RendezvousOwners(Directory()).owner(pool).host for pool in pools]
+    assert chosen == [RendezvousOwners(Directory()).owner(pool).host for pool in pools]
     assert set(chosen) == set(CORE)
 
 
 def test_next_host_stands_in_until_the_first_answers_again():
     """No grants come for seconds after the owner has died."""
-    owners = DerivedOwners(Directory())
+    owners = RendezvousOwners(Directory())
     first = owners.owner("llm")
     assert owners.suspect(first.host)
     assert not owners.suspect(first.host)
     second = owners.owner("llm")
     assert second.host != first.host
-    assert owners.note_answer(first.host, "i2")
+    assert owners.record_answer(first.host, "i2")
     assert owners.owner("llm").host == first.host
 
 
 def test_entry_hosts_stand_in_for_all_of_control():
     """Nothing is granted while all hosts of control are started anew."""
-    owners = DerivedOwners(Directory())
+    owners = RendezvousOwners(Directory())
     for host in CORE:
         owners.suspect(host)
     assert owners.owner("llm").host in EDGES
@@ -52,9 +52,9 @@
 
 def test_restarted_owner_is_another_owner():
     """An owner dies and is back within a moment, and knows nothing of what waits."""
-    owners = DerivedOwners(Directory())
+    owners = RendezvousOwners(Directory())
     host = owners.owner("llm").host
-    owners.note_answer(host, "i1")
+    owners.record_answer(host, "i1")
     before = owners.owner("llm")
-    assert owners.note_answer(host, "i2")
+    assert owners.record_answer(host, "i2")
     assert owners.owner("llm") != before
--- a/tests/components/node/test_upstreams.py
+++ b/tests/components/node/test_upstreams.py
@@ -1,6 +1,6 @@
 """What a node knows of upstreams that leave or have left."""
 
-from bitterntiller.components.node.upstreams import MOST_GONE, NodeUpstreams
+from bitterntiller.components.node.upstreams import MAX_REMOVED_UPSTREAMS, NodeUpstreams
 from bitterntiller.protocol import messages
 from tests.components.dispatch import messages_builders as build
 
@@ -37,7 +37,7 @@
 
 def test_upstreams_that_are_gone_are_forgotten_in_the_end():
     upstreams = NodeUpstreams()
-    for version in range(1, MOST_GONE + 10):
+    for version in range(1, MAX_REMOVED_UPSTREAMS + 10):
         upstreams.apply(listed(version, **{f"e{version}": "ready"}))
     assert not upstreams.left("e1")
-    assert upstreams.left(f"e{MOST_GONE}")
+    assert upstreams.left(f"e{MAX_REMOVED_UPSTREAMS}")
--- a/tests/platform/test_announcement.py
+++ b/tests/platform/test_announcement.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bitterntiller.components.control.const import UNSTATED_INCARNATION
+from bitterntiller.components.control.const import UNSPECIFIED_INCARNATION
 from bitterntiller.protocol import encode
 
 GOOD = {
@@ -45,7 +45,7 @@
     announcement = read_announcement("i-1", body())
     assert announcement.incarnation == GOOD["born"]
     assert announcement.sequence == 4
-    assert read_departure("i-1", b"").incarnation == UNSTATED_INCARNATION
+    assert read_departure("i-1", b"").incarnation == UNSPECIFIED_INCARNATION
     assert read_departure("i-1", b'{"born": 7}').incarnation == 7
 
 
