--- a/bitterntiller/components/dispatch/refusals.py
+++ b/bitterntiller/components/dispatch/refusals.py
@@ -1,12 +1,12 @@
 """Which requests are refused, and what their callers are told."""
 
-from bitterntiller.components.dispatch.admission import Admission
 from bitterntiller.components.dispatch.jobs import Job
 from bitterntiller.components.dispatch.lifecycle import JobLifecycle
 from bitterntiller.components.dispatch.limits import WorkspaceLimiter
 from bitterntiller.components.dispatch.models import RefusalBasis, Refused
-from bitterntiller.components.dispatch.patience import Patience
 from bitterntiller.components.dispatch.pool import Pool
+from bitterntiller.components.dispatch.wait_deadlines import WaitDeadlines
+from bitterntiller.components.dispatch.wait_estimator import WaitEstimator
 from bitterntiller.core.outcomes import Reason
 
 
@@ -17,17 +17,17 @@
         self,
         pool: Pool,
         jobs: JobLifecycle,
-        admission: Admission,
+        wait_estimator: WaitEstimator,
         limiter: WorkspaceLimiter,
-        patience: Patience,
+        wait_deadlines: WaitDeadlines,
     ) -> None:
         self._pool = pool
         self._jobs = jobs
-        self._admission = admission
+        self._wait_estimator = wait_estimator
         self._limiter = limiter
-        self._patience = patience
+        self._wait_deadlines = wait_deadlines
 
-    def at_entry(self, job: Job, now: float) -> Refused | None:
+    def check_arrival(self, job: Job, now: float) -> Refused | None:
         """Refuse what is over its workspace's limits or late already."""
         workspace = job.workspace
         wait = self._limiter.take_rate(workspace, now)
@@ -37,34 +37,35 @@
             limit = self._limiter.concurrency(workspace)
             waiting = self._limiter.waiting(workspace)
             if waiting >= max(1, limit or 0):
-                retry = self._admission.retry_after(job.rank, now)
+                retry = self._wait_estimator.retry_after(job.rank, now)
                 return self._refusal(job, Reason.CONCURRENCY_LIMIT, retry, now)
-        if now + job.best_case >= job.request.deadline and self._patience.is_late(
-            job, now
+        if (
+            now + job.min_service_seconds >= job.request.deadline
+            and self._wait_deadlines.is_too_late(job, now)
         ):
-            return self.of(job, Reason.TOO_LATE, now)
+            return self.refuse(job, Reason.TOO_LATE, now)
         return None
 
-    def give_up(self, job: Job, reason: Reason, now: float) -> Refused:
+    def drop(self, job: Job, reason: Reason, now: float) -> Refused:
         """Refuse a request that was kept, and forget it."""
         self._jobs.forget(job, now)
-        return self.of(job, reason, now)
+        return self.refuse(job, reason, now)
 
     def quarantined(self, job: Job, quarantined_for: float, now: float) -> Refused:
         """Refuse a request under which too many upstreams have ended."""
         return self._refusal(job, Reason.CRASHES_UPSTREAMS, quarantined_for, now)
 
-    def of(self, job: Job, reason: Reason, now: float) -> Refused:
+    def refuse(self, job: Job, reason: Reason, now: float) -> Refused:
         """Refuse a request until its tier has drained.
 
         Without any upstream nothing drains, and no measured rate would tell when to
         come back: the caller is told that there is none, and to look again soon.
         """
         if not self._pool.view(job).members:
-            retry = self._admission.retry_without_upstream()
+            retry = self._wait_estimator.retry_without_upstream()
             return self._refusal(job, Reason.NO_UPSTREAM, retry, now)
-        self._admission.note_refused(job, now)
-        retry = self._admission.retry_after(job.rank, now)
+        self._wait_estimator.note_refused(job, now)
+        retry = self._wait_estimator.retry_after(job.rank, now)
         return self._refusal(job, reason, retry, now)
 
     def _refusal(
@@ -78,12 +79,12 @@
             reason,
             retry_after,
             RefusalBasis(
-                tokens=job.kv,
+                tokens=job.kv_tokens,
                 upstreams=usable,
                 waiting=self._jobs.waiting,
                 waited=now - request.arrived,
                 expected_wait=job.expected_wait,
-                late=job.late,
-                parked=job.parked,
+                late=job.demoted,
+                parked=job.park_count,
             ),
         )
