--- a/bench/routed/play.py
+++ b/bench/routed/play.py
@@ -13,7 +13,7 @@
 from bench.routed.load import CASES_BY_NAME, make_asks
 from bench.routed.sheets import Sheet, load_sheets
 from bench.routed.tally import Tally, tally
-from bitterntiller.components.dispatch import FED_PARAMETERS
+from bitterntiller.components.dispatch import REGISTERED_PARAMETERS
 from bitterntiller.components.dispatch.models import PolicyParameters
 from bitterntiller.components.dispatch.scheduler import PoolScheduler
 
@@ -26,7 +26,7 @@
 
 def parameters(changes: dict[str, object]) -> PolicyParameters:
     """Return the parameters that routed pools run, with some of them changed."""
-    return FED_PARAMETERS._replace(**changes)
+    return REGISTERED_PARAMETERS._replace(**changes)
 
 
 def play(sheet_name: str, case_name: str, seed: int, changes: dict) -> Tally:
--- a/bitterntiller/components/dispatch/__init__.py
+++ b/bitterntiller/components/dispatch/__init__.py
@@ -31,19 +31,19 @@
     return PoolScheduler(DEFAULT_PARAMETERS._replace(kind=kind), crashes)
 
 
-FED_PREFILL_WINDOW = 0.4
+REGISTERED_PREFILL_WINDOW = 0.4
 """Seconds of prefill that an engine may have outstanding when it is sent more.
 
 The owner hears of an output up to half a second after it came; with less in advance an
 engine stands idle meanwhile.
 """
 
-FED_PARAMETERS = DEFAULT_PARAMETERS._replace(
+REGISTERED_PARAMETERS = DEFAULT_PARAMETERS._replace(
     silence_seconds=math.inf,
     order=const.ORDER_FIFO,
     long_slots=1.0,
     long_prefills=1.0,
-    prefill_window=FED_PREFILL_WINDOW,
+    prefill_window=REGISTERED_PREFILL_WINDOW,
     guard=0.0,
     margin=0.0,
     headroom=0.0,
@@ -59,12 +59,12 @@
 """
 
 
-def make_fed_scheduler(kind: str, crashes: CrashView | None = None) -> Scheduler:
+def make_registered_scheduler(kind: str, crashes: CrashView | None = None) -> Scheduler:
     """Return the scheduler of a pool that is told of silence instead of hearing it."""
-    return PoolScheduler(FED_PARAMETERS._replace(kind=kind), crashes)
+    return PoolScheduler(REGISTERED_PARAMETERS._replace(kind=kind), crashes)
 
 
-async def async_setup_chosen(
+async def async_setup_registered(
     runtime: Runtime,
     lease: Lease,
     config: ConfigView,
@@ -83,7 +83,7 @@
         lease,
         config,
         directory,
-        partial(make_fed_scheduler, crashes=crashes),
+        partial(make_registered_scheduler, crashes=crashes),
         registered,
         versions,
     )
--- a/bitterntiller/components/dispatch/calls.py
+++ b/bitterntiller/components/dispatch/call_durations.py
@@ -4,7 +4,7 @@
 MEAN_GAIN = 0.1
 
 
-class CallSeconds:
+class CallDurations:
     """Learns the mean seconds of a call for each octave of prompt tokens.
 
     The size of its body is all that is told of a call beforehand. The mean is
@@ -15,7 +15,7 @@
         self._seconds_by_octave: dict[int, float] = {}
         self._samples_by_octave: dict[int, int] = {}
 
-    def measured(self, prompt_tokens: int) -> bool:
+    def is_measured(self, prompt_tokens: int) -> bool:
         """Tell whether a call of this octave has ended yet."""
         return prompt_tokens.bit_length() in self._seconds_by_octave
 
--- a/bitterntiller/components/dispatch/canary_picker.py
+++ b/bitterntiller/components/dispatch/canary_picker.py
@@ -55,4 +55,4 @@
             return False
         if upstream.name in job.request.tried:
             return False
-        return upstream.can_take(now) and upstream.fits(job.kv_tokens)
+        return upstream.can_take(now) and upstream.has_memory_for(job.kv_tokens)
--- a/bitterntiller/components/dispatch/coordinator.py
+++ b/bitterntiller/components/dispatch/coordinator.py
@@ -14,7 +14,7 @@
     log_upstream_event,
 )
 from bitterntiller.components.dispatch.models import Decision, Granted, Scheduler
-from bitterntiller.components.dispatch.owned_pool import OwnedPool, Tracked
+from bitterntiller.components.dispatch.owned_pool import OwnedPool, TrackedRequest
 from bitterntiller.components.dispatch.ownership_buffer import OwnershipBuffer
 from bitterntiller.components.dispatch.wire import grant_message, refusal_message
 from bitterntiller.core.interfaces import (
@@ -28,10 +28,10 @@
 from bitterntiller.core.runtime import Runtime
 from bitterntiller.protocol import messages
 
-MakeScheduler = Callable[[str], Scheduler]
+SchedulerFactory = Callable[[str], Scheduler]
 """Makes the scheduler of a pool of a kind: engine or plain."""
 
-Decide = Callable[[OwnedPool, float], list[Decision]]
+PoolAction = Callable[[OwnedPool, float], list[Decision]]
 """Tells an owned pool of a message at a time; returns what it decides."""
 
 
@@ -44,7 +44,7 @@
         lease: Lease,
         config: ConfigView,
         directory: DirectoryView,
-        make_scheduler: MakeScheduler,
+        make_scheduler: SchedulerFactory,
         registered: UpstreamsView | None = None,
         versions: VersionsView | None = None,
     ) -> None:
@@ -64,10 +64,10 @@
         self._config_version = -1
         self._announce_listeners: list[Callable[[Any], None]] = []
         self._buffer = OwnershipBuffer()
-        self._heard_by_host: dict[str, float] = {}
-        self._dead_checked_at = 0.0
+        self._last_live_by_host: dict[str, float] = {}
+        self._dead_hosts_checked_at = 0.0
         self._changed = curio.Event()
-        self._trial_begun = curio.Event()
+        self._trial_started = curio.Event()
         self._idle = False
         self.pools_by_name: dict[str, OwnedPool] = {}
 
@@ -82,18 +82,18 @@
         """Follow ownership, the configuration and time, until cancelled."""
         while True:
             now = self._clock.now()
-            self._follow_ownership(now)
-            await self._async_follow_config(now)
-            await self._async_follow_versions(now)
-            await self._async_follow_upstreams(now)
+            self._sync_ownership(now)
+            await self._async_sync_config(now)
+            await self._async_sync_versions(now)
+            await self._async_sync_upstreams(now)
             await self._async_drop_dead_hosts(now)
             for pool in list(self.pools_by_name.values()):
                 if self._lease.valid():
-                    await self._async_take_early(pool.name, now)
-                await self._async_carry_out(pool, pool.tick(now))
-            await self._async_pause()
+                    await self._async_replay_buffered(pool.name, now)
+                await self._async_execute(pool, pool.tick(now))
+            await self._async_wait_for_work()
 
-    async def _async_pause(self) -> None:
+    async def _async_wait_for_work(self) -> None:
         """Wait until something is due; without any request, until one comes.
 
         Where entry hosts choose their owners every host may own every pool, and few do.
@@ -103,7 +103,7 @@
         self._idle = self._registered is not None and self._is_idle()
         self._changed.clear()
         if not self._idle:
-            await curio.sleep(self._pause())
+            await curio.sleep(self._poll_delay())
             return
         async with curio.ignore_after(const.IDLE_PAUSE):
             await self._changed.wait()
@@ -111,9 +111,9 @@
     def _is_idle(self) -> bool:
         pools = self.pools_by_name.values()
         tracked = any(pool.tracked_by_id for pool in pools)
-        return bool(pools) and not tracked and self._buffer.empty
+        return bool(pools) and not tracked and self._buffer.is_empty
 
-    async def _async_begin(self) -> None:
+    async def _async_leave_idle(self) -> None:
         """Take note of a request that comes; before it, of what has changed meanwhile.
 
         Its grant must not rest on a list of upstreams of a second ago.
@@ -122,12 +122,12 @@
             return
         self._idle = False
         now = self._clock.now()
-        await self._async_follow_config(now)
-        await self._async_follow_versions(now)
-        await self._async_follow_upstreams(now)
+        await self._async_sync_config(now)
+        await self._async_sync_versions(now)
+        await self._async_sync_upstreams(now)
         await self._changed.set()
 
-    async def _async_take_early(self, pool: str, now: float) -> None:
+    async def _async_replay_buffered(self, pool: str, now: float) -> None:
         for message in self._buffer.take(pool, now):
             if isinstance(message, messages.Register):
                 await self.async_on_register(message.entry_host, message)
@@ -136,77 +136,77 @@
 
     async def async_on_register(self, _host: str, message: Any) -> None:
         """Take a waiting request of an entry host."""
-        await self._async_begin()
+        await self._async_leave_idle()
         pool = self._pool(message.pool)
         if pool is None:
             self._buffer.put(message, self._clock.now())
             return
         incarnation = self._incarnation(message.entry_host)
         decisions = pool.register(message, incarnation, self._clock.now())
-        await self._async_carry_out(pool, decisions)
+        await self._async_execute(pool, decisions)
 
     async def async_on_reregister(self, _host: str, message: Any) -> None:
         """Take all that an entry host has with a pool."""
-        await self._async_begin()
+        await self._async_leave_idle()
         pool = self._pool(message.pool)
         now = self._clock.now()
         if pool is None or pool.epoch < message.epoch:
             self._buffer.put(message, now)
             return
         incarnation = self._incarnation(message.entry_host)
-        decisions = pool.take_over(message, incarnation, now)
-        await self._async_carry_out(pool, decisions)
+        decisions = pool.reregister(message, incarnation, now)
+        await self._async_execute(pool, decisions)
 
     async def async_on_live(self, _host: str, message: Any) -> None:
         """Forget what an entry host has no more."""
         host = message.entry_host
-        self._heard_by_host[host] = self._clock.now()
+        self._last_live_by_host[host] = self._clock.now()
         ids = frozenset(message.request_ids)
-        await self._async_call(
-            message.pool, lambda pool, now: pool.keep_only(host, ids, now)
+        await self._async_apply(
+            message.pool, lambda pool, now: pool.retain_only(host, ids, now)
         )
 
     async def async_on_cancel(self, _host: str, message: Any) -> None:
         """Forget a request whose caller has gone."""
-        await self._async_call(
+        await self._async_apply(
             message.pool, lambda pool, now: pool.cancel(message.request_id, now)
         )
 
     async def async_on_started(self, _host: str, message: Any) -> None:
         """Note that a grant was used."""
-        await self._async_call(
+        await self._async_apply(
             message.pool, lambda pool, now: pool.started(message.request_id, now)
         )
 
     async def async_on_progress(self, _host: str, message: Any) -> None:
         """Note the output of running requests."""
-        await self._async_call(
+        await self._async_apply(
             message.pool, lambda pool, now: pool.progress(message.items, now)
         )
 
     async def async_on_finished(self, _host: str, message: Any) -> None:
         """Note the end of a request."""
-        await self._async_call(
+        await self._async_apply(
             message.pool, lambda pool, now: pool.finished(message, now)
         )
 
     async def async_on_returned(self, _host: str, message: Any) -> None:
         """Take an unused grant back."""
-        await self._async_call(
+        await self._async_apply(
             message.pool, lambda pool, now: pool.returned(message, now)
         )
 
-    async def _async_call(self, name: str, decide: Decide) -> None:
+    async def _async_apply(self, name: str, action: PoolAction) -> None:
         """Have an owned pool decide on a message, and carry the decisions out."""
         pool = self._pool(name)
         if pool is None:
             return
-        decisions = decide(pool, self._clock.now())
-        await self._async_carry_out(pool, decisions)
+        decisions = action(pool, self._clock.now())
+        await self._async_execute(pool, decisions)
 
     async def async_on_upstream_limit(self, _host: str, message: Any) -> None:
         """Take note of the limit that an answer of an upstream named."""
-        await self._async_call(
+        await self._async_apply(
             message.pool, lambda pool, now: pool.update_rate_limit(message, now)
         )
 
@@ -219,7 +219,7 @@
         if accepted:
             for listener in self._announce_listeners:
                 listener(message)
-        await self._async_carry_out(pool, decisions)
+        await self._async_execute(pool, decisions)
         status = const.ANNOUNCE_ACCEPTED if accepted else const.ANNOUNCE_STALE
         return messages.AnnounceReply(status=status)
 
@@ -232,14 +232,14 @@
         """
         if not self._lease.valid():
             return None
-        self._follow_ownership(self._clock.now())
+        self._sync_ownership(self._clock.now())
         return self.pools_by_name.get(name)
 
     def _ownership(self, pool: str) -> Ownership | None:
         owner = self._directory.owner(pool)
         return owner if owner is not None and owner.host == self._host else None
 
-    def _follow_ownership(self, now: float) -> None:
+    def _sync_ownership(self, now: float) -> None:
         config: Config | None = self._config.config
         names = config.services_by_name if config is not None else {}
         for name in set(self.pools_by_name) - set(names):
@@ -248,15 +248,15 @@
             owner = self._ownership(name)
             pool = self.pools_by_name.get(name)
             if owner is None:
-                self._lose(name)
+                self._remove_pool(name)
             elif pool is None or pool.epoch != owner.epoch:
-                self._gain(name, service.kind, owner.epoch, now)
+                self._add_pool(name, service.kind, owner.epoch, now)
 
-    def _lose(self, name: str) -> None:
+    def _remove_pool(self, name: str) -> None:
         if self.pools_by_name.pop(name, None) is not None:
             logging.info("pool %s is no longer owned here", name)
 
-    def _gain(self, name: str, kind: str, epoch: int, now: float) -> None:
+    def _add_pool(self, name: str, kind: str, epoch: int, now: float) -> None:
         settled_at = now + self._timings.owner_settle
         pool = OwnedPool(name, epoch, self._make_scheduler(kind), settled_at)
         pool.configure(self._config.config, now)
@@ -265,15 +265,15 @@
         self._versions_version = 0
         logging.info("pool %s is owned here under epoch %d", name, epoch)
 
-    async def _async_follow_config(self, now: float) -> None:
+    async def _async_sync_config(self, now: float) -> None:
         if self._config.version == self._config_version:
             return
         self._config_version = self._config.version
         for pool in list(self.pools_by_name.values()):
             decisions = pool.configure(self._config.config, now)
-            await self._async_carry_out(pool, decisions)
+            await self._async_execute(pool, decisions)
 
-    async def _async_follow_versions(self, now: float) -> None:
+    async def _async_sync_versions(self, now: float) -> None:
         """Tell the pools which versions of their upstreams get requests."""
         view = self._versions
         if view is None or view.version == self._versions_version:
@@ -281,44 +281,44 @@
         self._versions_version = view.version
         for pool in list(self.pools_by_name.values()):
             decisions = pool.set_versions(view.rules(pool.name), now)
-            await self._async_carry_out(pool, decisions)
+            await self._async_execute(pool, decisions)
             if pool.rollout.trial is not None:
-                await self._trial_begun.set()
+                await self._trial_started.set()
 
     async def async_wait_for_trial(self) -> None:
         """Return once a rollout of an owned pool's service is judged."""
-        self._trial_begun.clear()
-        await self._trial_begun.wait()
+        self._trial_started.clear()
+        await self._trial_started.wait()
 
-    async def async_allow(
+    async def async_renew_allowance(
         self, pool: OwnedPool, number: int, more: int, until: float
     ) -> None:
         """Renew the allowance of a rollout's trial."""
-        decisions = pool.allow(number, more, until, self._clock.now())
-        await self._async_carry_out(pool, decisions)
+        decisions = pool.renew_allowance(number, more, until, self._clock.now())
+        await self._async_execute(pool, decisions)
 
     async def async_end_trial(
         self, pool: OwnedPool, number: int, complete: bool
     ) -> None:
         """Act by a rollout's verdict before the version rules tell of it."""
         decisions = pool.end_trial(number, complete, self._clock.now())
-        await self._async_carry_out(pool, decisions)
+        await self._async_execute(pool, decisions)
 
-    async def _async_follow_upstreams(self, now: float) -> None:
+    async def _async_sync_upstreams(self, now: float) -> None:
         """Tell the pools what control has registered, where upstreams tell control."""
         view = self._registered
         if view is None or view.version == self._registered_version:
             return
         self._registered_version = view.version
         for pool in list(self.pools_by_name.values()):
-            decisions = pool.follow(view.by_name, view.version, now)
-            await self._async_carry_out(pool, decisions)
+            decisions = pool.sync_registered(view.by_name, view.version, now)
+            await self._async_execute(pool, decisions)
 
     async def async_review(self, fingerprints: frozenset[int]) -> None:
         """Decide anew on copies of requests of whose crashes there is news."""
         for pool in list(self.pools_by_name.values()):
             decisions = pool.review(fingerprints, self._clock.now())
-            await self._async_carry_out(pool, decisions)
+            await self._async_execute(pool, decisions)
 
     async def async_drop_host(self, host: str) -> None:
         """Forget all that an entry host has here; it has turned to another owner."""
@@ -326,7 +326,7 @@
         for pool in list(self.pools_by_name.values()):
             for request_id, tracked in list(pool.tracked_by_id.items()):
                 if tracked.request.entry_host == host:
-                    await self._async_carry_out(pool, pool.cancel(request_id, now))
+                    await self._async_execute(pool, pool.cancel(request_id, now))
 
     async def async_on_ended(self, _host: str, message: Any) -> None:
         """Take messages.EndedRequests of an entry host."""
@@ -343,7 +343,7 @@
                     continue
                 self._metrics.count(const.METRIC_ENDS_MISSED)
                 log_missed_end(pool.name, request_id, host)
-                await self._async_carry_out(pool, pool.cancel(request_id, now))
+                await self._async_execute(pool, pool.cancel(request_id, now))
 
     def _incarnation(self, host: str) -> str:
         entry = self._directory.hosts_by_name.get(host)
@@ -357,33 +357,33 @@
         that left the directory may be cut off from control and still run its
         requests; it counts as dead when it is silent towards this host too.
         """
-        if now - self._dead_checked_at < const.DEAD_HOSTS_PERIOD:
+        if now - self._dead_hosts_checked_at < const.DEAD_HOSTS_PERIOD:
             return
-        self._dead_checked_at = now
+        self._dead_hosts_checked_at = now
         for pool in list(self.pools_by_name.values()):
             for request_id, tracked in list(pool.tracked_by_id.items()):
                 if self._entry_is_dead(tracked, now):
                     self._metrics.count(const.METRIC_ORPHANED)
-                    await self._async_carry_out(pool, pool.cancel(request_id, now))
+                    await self._async_execute(pool, pool.cancel(request_id, now))
 
-    def _entry_is_dead(self, tracked: Tracked, now: float) -> bool:
+    def _entry_is_dead(self, tracked: TrackedRequest, now: float) -> bool:
         host = tracked.request.entry_host
         present = self._incarnation(host)
         if present:
             known = tracked.entry_incarnation
             return bool(known) and present != known
-        heard_at = max(self._heard_by_host.get(host, 0.0), tracked.known_at)
-        return now - heard_at > const.DEAD_HOST_SILENCE
+        last_reported_at = max(
+            self._last_live_by_host.get(host, 0.0), tracked.last_reported_at
+        )
+        return now - last_reported_at > const.DEAD_HOST_SILENCE
 
-    def _pause(self) -> float:
+    def _poll_delay(self) -> float:
         now = self._clock.now()
         due = [pool.next_wake(now) for pool in self.pools_by_name.values()]
         wake = min(due, default=now + const.LONGEST_PAUSE)
         return min(max(wake - now, const.SHORTEST_PAUSE), const.LONGEST_PAUSE)
 
-    async def _async_carry_out(
-        self, pool: OwnedPool, decisions: list[Decision]
-    ) -> None:
+    async def _async_execute(self, pool: OwnedPool, decisions: list[Decision]) -> None:
         """Tell what the pool found of upstreams, and send each decision in a task.
 
         A host that lost its power answers nothing, so that dialling it takes the
@@ -397,17 +397,17 @@
 
     async def _async_deliver(self, pool: OwnedPool, decision: Decision) -> None:
         entry = self._directory.hosts_by_name.get(decision.entry_host)
-        message = self._message(pool, decision)
+        message = self._build_message(pool, decision)
         sent = False
         if entry is not None:
             sent = await self._links.async_send(entry.address, message)
         if sent or not isinstance(decision, Granted):
             return
         now = self._clock.now()
-        more = pool.take_back(decision.request_id, now)
-        await self._async_carry_out(pool, more)
+        more = pool.drop_undelivered(decision.request_id, now)
+        await self._async_execute(pool, more)
 
-    def _message(self, pool: OwnedPool, decision: Decision) -> Any:
+    def _build_message(self, pool: OwnedPool, decision: Decision) -> Any:
         log_decision(pool.name, decision)
         if isinstance(decision, Granted):
             self._metrics.count(f"{const.METRIC_GRANTS}.{pool.name}")
--- a/bitterntiller/components/dispatch/diagnostics.py
+++ b/bitterntiller/components/dispatch/diagnostics.py
@@ -21,5 +21,5 @@
     return [
         {"name": name, "service": pool.name, "labels": labels}
         for pool in coordinator.pools_by_name.values()
-        for name, labels in pool.upstreams().items()
+        for name, labels in pool.labels_by_upstream().items()
     ]
--- a/bitterntiller/components/dispatch/estimator.py
+++ b/bitterntiller/components/dispatch/estimator.py
@@ -38,15 +38,15 @@
         upstream = job.upstream
         if upstream is None or output_tokens <= job.tokens_seen:
             return
-        upstream.worked_at = now
-        upstream.shows_progress = True
+        upstream.last_active_at = now
+        upstream.reports_progress = True
         if job.first_output_at is None and job.tokens_seen == 0:
             when = now
             if first is not None and not job.adopted:
                 when = min(now, job.granted_at + first)
-            self._first_token(job, upstream, when)
+            self._learn_first_output(job, upstream, when)
         else:
-            self._decoded(job, upstream, output_tokens, now)
+            self._learn_decode(job, upstream, output_tokens, now)
         job.tokens_seen = output_tokens
         job.tokens_at = now
 
@@ -69,15 +69,17 @@
             self._pool.note_failure(upstream, now)
             return
         self._pool.note_success(upstream, now)
-        upstream.worked_at = now
+        upstream.last_active_at = now
         self._size_estimator.learn(job, completion)
         # The time of a call tells of the upstream's speed only beside the measured
         # mean of such calls. Beside a guess it would show as an upstream that is
         # many times too slow or too fast for calls of all sizes.
         if not (self._plain and (job.adopted or job.unmeasured)):
-            self._learn_end(job, upstream, completion, now)
+            self._learn_from_completion(job, upstream, completion, now)
         if completion.cached_tokens is not None:
-            upstream.prefixes.correct(job.expected_cached, completion.cached_tokens)
+            upstream.prefixes.update_trust(
+                job.expected_cached, completion.cached_tokens
+            )
 
     def not_run(self, upstream: Upstream, reason: str, now: float) -> None:
         """Learn from a request that the upstream did not take."""
@@ -91,22 +93,24 @@
             upstream, now, certain=reason == REASON_REFUSED_CONNECTION
         )
 
-    def _first_token(self, job: Job, upstream: Upstream, now: float) -> None:
+    def _learn_first_output(self, job: Job, upstream: Upstream, now: float) -> None:
         job.first_output_at = now
         seconds = upstream.ledger.finish_prefill(job, now)
         if seconds is None:
             return
         expected = upstream.speed.prefill_seconds(job.prefill, job.kind)
-        upstream.speed.learn_first(job.kind, expected, seconds)
+        upstream.speed.learn_prefill(job.kind, expected, seconds)
 
-    def _decoded(self, job: Job, upstream: Upstream, tokens: int, now: float) -> None:
+    def _learn_decode(
+        self, job: Job, upstream: Upstream, tokens: int, now: float
+    ) -> None:
         if not job.tokens_at:
             return
         upstream.speed.learn_decode(
             tokens - job.tokens_seen, now - job.tokens_at, upstream.ledger.in_flight
         )
 
-    def _learn_end(
+    def _learn_from_completion(
         self, job: Job, upstream: Upstream, completion: Completion, now: float
     ) -> None:
         """Learn from the times of a whole answer."""
@@ -119,12 +123,12 @@
             size = max(job.expected_output, 1.0)
             upstream.speed.learn_decode(size, completion.total, in_flight)
         elif job.first_output_at is None:
-            self._first_token(job, upstream, job.granted_at + first)
+            self._learn_first_output(job, upstream, job.granted_at + first)
             upstream.speed.learn_decode(
                 completion.output_tokens - 1, completion.total - first, in_flight
             )
         elif completion.output_tokens > job.tokens_seen:
-            self._decoded(job, upstream, completion.output_tokens, now)
+            self._learn_decode(job, upstream, completion.output_tokens, now)
         if job.work <= 0 or completion.total <= 0:
             return
         upstream.speed.learn_total(job.expected_total, completion.total)
--- a/bitterntiller/components/dispatch/granting.py
+++ b/bitterntiller/components/dispatch/grant_loop.py
@@ -17,7 +17,7 @@
 from bitterntiller.core.outcomes import Reason
 
 
-class Granting:
+class GrantLoop:
     """Takes requests from the head of the queue, and does what is chosen for each.
 
     blocked are the groups whose head found no upstream. They are left alone until an
@@ -48,10 +48,10 @@
 
     def decide(self, now: float, decisions: list[Decision]) -> None:
         """Grant to the head of the queue as long as an upstream is free."""
-        self._take_freed()
+        self._unblock_freed()
         skips = 0
         while self._jobs.waiting and self._any_free(now) and skips < MAX_SKIPS:
-            job = self._next()
+            job = self._next_job()
             if job is None:
                 return
             pick = self._picker.pick(job, self._pool.view(job), now)
@@ -70,7 +70,7 @@
     def _any_free(self, now: float) -> bool:
         return self._pool.any_free or self._picker.canaries.any_free(now)
 
-    def _take_freed(self) -> None:
+    def _unblock_freed(self) -> None:
         if not self._pool.freed:
             return
         for upstream in self._pool.freed:
@@ -78,7 +78,7 @@
         self._pool.freed.clear()
         self._blocked.clear()
 
-    def _next(self) -> Job | None:
+    def _next_job(self) -> Job | None:
         """Return the next request: of a tier short of its share, or the head."""
         for rank in self._pool.ranks_below_share(self._lower_share):
             job = self._queue.head_of(rank, self._blocked)
@@ -106,7 +106,7 @@
                 expected_wait=job.expected_wait,
                 late=job.demoted,
                 parked=job.park_count,
-                announced=now - upstream.heard_at,
+                announced=now - upstream.last_announced_at,
                 tokens=job.kv_tokens,
                 rate_limit=upstream.rate_limiter.limit,
                 limit_age=_limit_age(upstream, now),
--- a/bitterntiller/components/dispatch/lifecycle.py
+++ b/bitterntiller/components/dispatch/lifecycle.py
@@ -4,7 +4,6 @@
 from collections.abc import Callable
 
 from bitterntiller.components.dispatch.jobs import Job, JobState
-from bitterntiller.components.dispatch.limits import WorkspaceLimiter
 from bitterntiller.components.dispatch.models import PolicyParameters, WaitingRequest
 from bitterntiller.components.dispatch.parking import Parking
 from bitterntiller.components.dispatch.picker import PickResult
@@ -12,6 +11,7 @@
 from bitterntiller.components.dispatch.queue import PoolQueue
 from bitterntiller.components.dispatch.timers import JobTimers
 from bitterntiller.components.dispatch.wait_deadlines import WaitDeadlines
+from bitterntiller.components.dispatch.workspace_limiter import WorkspaceLimiter
 
 EXPIRED_GRANT_KEPT_SECONDS = 1.0
 """Least time for which a lapsed grant is kept, should the news of its use be late."""
@@ -64,7 +64,7 @@
         """Put a request into the queue; plan when it has to be looked at."""
         job.state = JobState.QUEUED
         self.waiting += 1
-        self._limiter.wait(job.workspace, 1, now)
+        self._limiter.add_waiting(job.workspace, 1, now)
         self._queue.push(job)
         self._wait_deadlines.schedule_check(job, now)
         if self._wait_deadlines.schedule_objective(job, now):
@@ -90,12 +90,12 @@
         """Take a request out of the queue and count it on its upstream."""
         request, upstream = job.request, pick.upstream
         assert upstream is not None
-        upstream.tried_at = now
+        upstream.last_granted_at = now
         upstream.rate_limiter.acquire(now)
         self._queue.remove(job)
         self._queue.charge(job)
         self.stop_waiting(job, now)
-        self._limiter.enter(job.workspace, now)
+        self._limiter.start_request(job.workspace, now)
         job.state = JobState.GRANTED
         job.granted_at = now
         job.expected_cached = pick.cached
@@ -120,7 +120,7 @@
         elif job.state is JobState.EXPIRED:
             # The grant was used in time, but the message about it came late.
             job.state = JobState.RUNNING
-            self._limiter.enter(job.workspace, now)
+            self._limiter.start_request(job.workspace, now)
             if job.target is not None:
                 self._pool.adopt(job, job.target.name, now)
 
@@ -131,7 +131,7 @@
         if job.waiting:
             self.stop_waiting(job, now)
         elif job.state is not JobState.EXPIRED:
-            self._limiter.leave(job.workspace)
+            self._limiter.finish_request(job.workspace)
             self._queue.uncap(job.workspace)
             self._pool.detach(job, now)
             self._on_capacity_freed()
@@ -155,7 +155,7 @@
     def stop_waiting(self, job: Job, now: float) -> None:
         """Count a request as waiting no more."""
         self.waiting -= 1
-        self._limiter.wait(job.workspace, -1, now)
+        self._limiter.add_waiting(job.workspace, -1, now)
         self._pool.unreserve(job)
 
     def expire_grant(self, job: Job, now: float) -> None:
--- a/bitterntiller/components/dispatch/owned_pool.py
+++ b/bitterntiller/components/dispatch/owned_pool.py
@@ -26,11 +26,11 @@
 from bitterntiller.protocol import messages
 
 LOWEST_RANK = 1_000_000
-HOST_GONE = "expired"
-KNOWN_SECONDS = 5.0
+REASON_UNDELIVERED = "expired"
+UNLISTED_GRACE_SECONDS = 5.0
 
 
-class Tracked(NamedTuple):
+class TrackedRequest(NamedTuple):
     """A request as the owner tracks it: who sent it, and whether it may be sent.
 
     granted is true from the grant until its return. known_at is when the entry
@@ -40,7 +40,7 @@
     request: WaitingRequest
     entry_incarnation: str
     granted: bool
-    known_at: float
+    last_reported_at: float
 
 
 class OwnedPool:
@@ -57,32 +57,34 @@
         self.name = name
         self.epoch = epoch
         self.scheduler = scheduler
-        self.tracked_by_id: dict[str, Tracked] = {}
+        self.tracked_by_id: dict[str, TrackedRequest] = {}
         self._settled_at = settled_at
         self._held_by_id: dict[str, tuple[messages.Register, str]] = {}
         self._eligibility = Eligibility()
         self._labels_by_upstream: dict[str, dict[str, str]] = {}
-        self._followed_by_name: dict[str, messages.Announce] = {}
+        self._registered_by_name: dict[str, messages.Announce] = {}
         self._config: Config | None = None
         self.rollout = PoolTrial(scheduler)
 
     def set_versions(self, rules: VersionRules, now: float) -> list[Decision]:
         """Put version rules in force."""
-        return self._note(self.rollout.set_rules(rules, now), now)
+        return self._record_decisions(self.rollout.set_rules(rules, now), now)
 
-    def allow(self, number: int, more: int, until: float, now: float) -> list[Decision]:
+    def renew_allowance(
+        self, number: int, more: int, until: float, now: float
+    ) -> list[Decision]:
         """Renew the allowance of a rollout's trial."""
-        return self._note(self.rollout.allow(number, more, until, now), now)
+        return self._record_decisions(self.rollout.allow(number, more, until, now), now)
 
     def end_trial(self, number: int, complete: bool, now: float) -> list[Decision]:
         """Act by a rollout's verdict."""
-        return self._note(self.rollout.end(number, complete, now), now)
+        return self._record_decisions(self.rollout.end(number, complete, now), now)
 
     def configure(self, config: Config, now: float) -> list[Decision]:
         """Put a configuration in force."""
         self._config = config
         decisions = self.scheduler.set_limits(workspace_limits(config), now)
-        return self._note(decisions, now) + self._select_anew(now)
+        return self._record_decisions(decisions, now) + self._reapply_selectors(now)
 
     def register(
         self, message: messages.Register, incarnation: str, now: float
@@ -98,7 +100,7 @@
             self._held_by_id[request_id] = (message, incarnation)
             return []
         request = self._track(message, incarnation, now)
-        return self._note(self.scheduler.register(request, now), now)
+        return self._record_decisions(self.scheduler.register(request, now), now)
 
     def _track(
         self, message: messages.Register, incarnation: str, now: float
@@ -108,11 +110,11 @@
         if known is None:
             self.rollout.note_registered(request, now)
         granted = known is not None and known.granted
-        tracked = Tracked(request, incarnation, granted, now)
+        tracked = TrackedRequest(request, incarnation, granted, now)
         self.tracked_by_id[request.request_id] = tracked
         return request
 
-    def _take_held(self, now: float) -> list[Decision]:
+    def _register_held(self, now: float) -> list[Decision]:
         """Take what was held while the epoch settled, all of it together.
 
         One by one, work of a low tier would be granted or kept before the owner
@@ -123,9 +125,9 @@
         requests = [
             self._track(message, incarnation, now) for message, incarnation in held
         ]
-        return self._note(self.scheduler.register_all(requests, now), now)
+        return self._record_decisions(self.scheduler.register_all(requests, now), now)
 
-    def take_over(
+    def reregister(
         self, message: messages.Reregister, incarnation: str, now: float
     ) -> list[Decision]:
         """Take all that an entry host has with this pool, and forget what it has not.
@@ -141,38 +143,38 @@
         # What runs is counted first, or the slots that are freed would be granted
         # though requests run in them.
         for item in message.running:
-            decisions += self.adopt(item, incarnation, now)
-        decisions += self.keep_only(message.entry_host, ids, now, 0.0)
+            decisions += self.adopt_running(item, incarnation, now)
+        decisions += self.retain_only(message.entry_host, ids, now, 0.0)
         for item in message.waiting:
             decisions += self.register(item, incarnation, now)
         return decisions
 
-    def adopt(
+    def adopt_running(
         self, item: messages.RunningItem, incarnation: str, now: float
     ) -> list[Decision]:
         """Count a request that runs under an earlier owner's grant."""
         request = self._request(item.request, now)
-        tracked = Tracked(request, incarnation, True, now)
+        tracked = TrackedRequest(request, incarnation, True, now)
         self.tracked_by_id[request.request_id] = tracked
         self._held_by_id.pop(request.request_id, None)
         decisions = self.scheduler.adopt_running(
             request, item.upstream, item.output_tokens, now
         )
-        return self._note(decisions, now)
+        return self._record_decisions(decisions, now)
 
     def cancel(self, request_id: str, now: float) -> list[Decision]:
         """Forget a request."""
         self._held_by_id.pop(request_id, None)
         self.tracked_by_id.pop(request_id, None)
         self.rollout.forget(request_id)
-        return self._note(self.scheduler.cancel(request_id, now), now)
+        return self._record_decisions(self.scheduler.cancel(request_id, now), now)
 
-    def keep_only(
+    def retain_only(
         self,
         entry_host: str,
         request_ids: frozenset[str],
         now: float,
-        known_seconds: float = KNOWN_SECONDS,
+        grace_seconds: float = UNLISTED_GRACE_SECONDS,
     ) -> list[Decision]:
         """Forget what an entry host has no more, given all that it has.
 
@@ -185,13 +187,13 @@
         for request_id, tracked in list(self.tracked_by_id.items()):
             if tracked.request.entry_host != entry_host or request_id in request_ids:
                 continue
-            if now - tracked.known_at >= known_seconds:
+            if now - tracked.last_reported_at >= grace_seconds:
                 decisions += self.cancel(request_id, now)
         return decisions
 
     def started(self, request_id: str, now: float) -> list[Decision]:
         """Note that a request is being sent."""
-        return self._note(self.scheduler.started(request_id, now), now)
+        return self._record_decisions(self.scheduler.started(request_id, now), now)
 
     def progress(
         self, items: list[messages.ProgressItem], now: float
@@ -204,14 +206,14 @@
             decisions += self.scheduler.progress(
                 item.request_id, item.output_tokens, now, first
             )
-        return self._note(decisions, now)
+        return self._record_decisions(decisions, now)
 
     def finished(self, message: messages.Finished, now: float) -> list[Decision]:
         """Note the end of a request."""
         self.tracked_by_id.pop(message.request_id, None)
         end = completion(message, now)
         self.rollout.note_finished(end)
-        return self._note(self.scheduler.finished(end, now), now)
+        return self._record_decisions(self.scheduler.finished(end, now), now)
 
     def returned(self, message: messages.Returned, now: float) -> list[Decision]:
         """Take an unused grant back."""
@@ -223,13 +225,13 @@
         decisions = self.scheduler.returned(
             message.request_id, message.reason, message.still_waiting, now
         )
-        return self._note(decisions, now)
+        return self._record_decisions(decisions, now)
 
-    def take_back(self, request_id: str, now: float) -> list[Decision]:
+    def drop_undelivered(self, request_id: str, now: float) -> list[Decision]:
         """Take back a grant that could not be sent, and forget its request."""
         self.tracked_by_id.pop(request_id, None)
-        decisions = self.scheduler.returned(request_id, HOST_GONE, False, now)
-        return self._note(decisions, now)
+        decisions = self.scheduler.returned(request_id, REASON_UNDELIVERED, False, now)
+        return self._record_decisions(decisions, now)
 
     def announce(
         self, message: messages.Announce, now: float
@@ -239,10 +241,12 @@
         accepted, decisions = self.scheduler.announce(upstream_state(message, now), now)
         if accepted and self._labels_by_upstream.get(message.name) != message.labels:
             self._labels_by_upstream[message.name] = message.labels
-            return accepted, self._note(decisions, now) + self._select_anew(now)
-        return accepted, self._note(decisions, now)
+            return accepted, self._record_decisions(
+                decisions, now
+            ) + self._reapply_selectors(now)
+        return accepted, self._record_decisions(decisions, now)
 
-    def follow(
+    def sync_registered(
         self, registered: Mapping[str, messages.Announce], version: int, now: float
     ) -> list[Decision]:
         """Take the list of all registered upstreams in its version.
@@ -252,18 +256,18 @@
         decisions: list[Decision] = []
         for item in registered.values():
             if item.pool == self.name:
-                decisions += self._follow_one(item, item.state, version, now)
-        gone = self._followed_by_name.keys() - registered.keys()
+                decisions += self._announce_registered(item, item.state, version, now)
+        gone = self._registered_by_name.keys() - registered.keys()
         for name in gone:
-            item = self._followed_by_name.pop(name)
+            item = self._registered_by_name.pop(name)
             self.rollout.note_gone(name)
-            decisions += self._follow_one(item, STATE_LEAVING, version, now)
-        self._followed_by_name.update(
+            decisions += self._announce_registered(item, STATE_LEAVING, version, now)
+        self._registered_by_name.update(
             {name: item for name, item in registered.items() if item.pool == self.name}
         )
         return decisions
 
-    def _follow_one(
+    def _announce_registered(
         self, item: messages.Announce, state: str, version: int, now: float
     ) -> list[Decision]:
         service = self._config.services_by_name.get(self.name) if self._config else None
@@ -286,21 +290,21 @@
         """Do what time alone brings."""
         decisions: list[Decision] = []
         if now >= self._settled_at and self._held_by_id:
-            decisions = self._take_held(now)
-        return self._note(decisions + self.scheduler.tick(now), now)
+            decisions = self._register_held(now)
+        return self._record_decisions(decisions + self.scheduler.tick(now), now)
 
     def update_rate_limit(
         self, message: messages.UpstreamLimit, now: float
     ) -> list[Decision]:
         """Take note of the limit that an answer of an upstream named."""
-        return self._note(
+        return self._record_decisions(
             self.scheduler.update_rate_limit(rate_limit_update(message, now), now),
             now,
         )
 
     def review(self, fingerprints: frozenset[int], now: float) -> list[Decision]:
         """Decide anew on copies of requests of whose crashes there is news."""
-        return self._note(self.scheduler.review(fingerprints, now), now)
+        return self._record_decisions(self.scheduler.review(fingerprints, now), now)
 
     def take_events(self) -> list[UpstreamEvent]:
         """Return what the owner has come to believe of upstreams."""
@@ -313,7 +317,7 @@
             due = min(due, self._settled_at)
         return due
 
-    def upstreams(self) -> dict[str, dict[str, str]]:
+    def labels_by_upstream(self) -> dict[str, dict[str, str]]:
         """Return the labels of all announced upstreams, by name."""
         return dict(self._labels_by_upstream)
 
@@ -323,27 +327,27 @@
         names = None
         if config is not None:
             rank = _rank(message.tier, config)
-            names = self._names(message.workspace, message.tier, config)
+            names = self._allowed_names(message.workspace, message.tier, config)
         return waiting_request(message, rank, names, now)
 
-    def _names(
+    def _allowed_names(
         self, workspace: str, tier: str, config: Config
     ) -> frozenset[str] | None:
         return self._eligibility.names(
             self.name, workspace, tier, config, self._labels_by_upstream
         )
 
-    def _select_anew(self, now: float) -> list[Decision]:
+    def _reapply_selectors(self, now: float) -> list[Decision]:
         """Have waiting requests use the upstreams that the labels choose now."""
         self._eligibility.clear()
         if self._config is None:
             return []
         decisions: list[Decision] = []
         for request_id in list(self.tracked_by_id):
-            decisions += self._select_one(request_id, self._config, now)
+            decisions += self._reapply_selectors_to(request_id, self._config, now)
         return decisions
 
-    def _select_one(
+    def _reapply_selectors_to(
         self, request_id: str, config: Config, now: float
     ) -> list[Decision]:
         """Register a waiting request anew when its tier or upstreams are others.
@@ -356,24 +360,28 @@
         if tracked is None or tracked.granted:
             return []
         request = tracked.request
-        names = self._names(request.workspace, request.tier, config)
+        names = self._allowed_names(request.workspace, request.tier, config)
         rank = _rank(request.tier, config)
         if (names, rank) == (request.upstream_names, request.tier_rank):
             return []
         request = request._replace(upstream_names=names, tier_rank=rank)
         self.tracked_by_id[request_id] = tracked._replace(request=request)
-        decisions = self._note(self.scheduler.cancel(request_id, now), now)
-        return decisions + self._note(self.scheduler.register(request, now), now)
+        decisions = self._record_decisions(self.scheduler.cancel(request_id, now), now)
+        return decisions + self._record_decisions(
+            self.scheduler.register(request, now), now
+        )
 
-    def _note(self, decisions: list[Decision], now: float) -> list[Decision]:
+    def _record_decisions(
+        self, decisions: list[Decision], now: float
+    ) -> list[Decision]:
         for decision in decisions:
             if isinstance(decision, Refused):
                 self.tracked_by_id.pop(decision.request_id, None)
                 continue
-            self._note_grant(decision, now)
+            self._record_grant(decision, now)
         return decisions
 
-    def _note_grant(self, decision: Granted, now: float) -> None:
+    def _record_grant(self, decision: Granted, now: float) -> None:
         tracked = self.tracked_by_id.get(decision.request_id)
         if tracked is None:
             return
--- a/bitterntiller/components/dispatch/ownership_buffer.py
+++ b/bitterntiller/components/dispatch/ownership_buffer.py
@@ -2,8 +2,8 @@
 
 from typing import Any, NamedTuple
 
-KEPT_SECONDS = 5.0
-MOST_KEPT = 10_000
+BUFFER_SECONDS = 5.0
+MAX_BUFFERED = 10_000
 
 
 class _Buffered(NamedTuple):
@@ -24,18 +24,18 @@
 
     def put(self, message: Any, now: float) -> None:
         """Keep a Register or Reregister; beyond MOST_KEPT for a pool it is dropped."""
-        held = self._buffered_by_pool.setdefault(message.pool, [])
-        if held and now - held[0].at > KEPT_SECONDS:
-            held[:] = [item for item in held if now - item.at <= KEPT_SECONDS]
-        if len(held) < MOST_KEPT:
-            held.append(_Buffered(now, message))
+        buffered = self._buffered_by_pool.setdefault(message.pool, [])
+        if buffered and now - buffered[0].at > BUFFER_SECONDS:
+            buffered[:] = [item for item in buffered if now - item.at <= BUFFER_SECONDS]
+        if len(buffered) < MAX_BUFFERED:
+            buffered.append(_Buffered(now, message))
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Tell whether nothing is kept."""
         return not self._buffered_by_pool
 
     def take(self, pool: str, now: float) -> list[Any]:
         """Return and drop what arrived for a pool in the last seconds."""
-        held = self._buffered_by_pool.pop(pool, [])
-        return [item.message for item in held if now - item.at <= KEPT_SECONDS]
+        buffered = self._buffered_by_pool.pop(pool, [])
+        return [item.message for item in buffered if now - item.at <= BUFFER_SECONDS]
--- a/bitterntiller/components/dispatch/picker.py
+++ b/bitterntiller/components/dispatch/picker.py
@@ -19,7 +19,7 @@
 from bitterntiller.components.dispatch.pool import Pool
 from bitterntiller.components.dispatch.prefix import prefix_tokens
 from bitterntiller.components.dispatch.speed import LONG, SHORT
-from bitterntiller.components.dispatch.upstreams import Upstream, View
+from bitterntiller.components.dispatch.upstreams import Upstream, UpstreamView
 
 INFINITE_SECONDS = float("inf")
 
@@ -67,7 +67,7 @@
         self._isolation = isolation
         self.canaries = CanaryPicker(pool, isolation)
 
-    def pick(self, job: Job, view: View, now: float) -> PickResult:
+    def pick(self, job: Job, view: UpstreamView, now: float) -> PickResult:
         """Choose for a request that is at the head of its queue."""
         canary = self.canaries.pick(job, now)
         if canary is not None:
@@ -99,7 +99,7 @@
     def _why_not_picked(
         self,
         job: Job,
-        view: View,
+        view: UpstreamView,
         candidates: list[Upstream],
         any_accepts: bool,
         now: float,
@@ -111,7 +111,7 @@
         fastest_cached = 0
         for upstream in candidates:
             cached, alone, _ = self._estimate(job, upstream, now)
-            alone += upstream.rate_limiter.wait(now)
+            alone += upstream.rate_limiter.wait_seconds(now)
             if alone < fastest_seconds and upstream.health.allows_request(0, now):
                 fastest, fastest_seconds = upstream, alone
                 fastest_cached = cached
@@ -137,15 +137,15 @@
         """
         return not upstream.ledger.in_flight and self._accepts(job, upstream, now)
 
-    def probe(self, job: Job, view: View, now: float) -> PickResult | None:
+    def probe(self, job: Job, view: UpstreamView, now: float) -> PickResult | None:
         """Choose an idle upstream of doubtful speed for a request that seems late."""
         for upstream in self._candidates(job, view):
-            if upstream.in_doubt(now) and self._accepts(job, upstream, now):
+            if upstream.needs_speed_probe(now) and self._accepts(job, upstream, now):
                 cached, alone, _ = self._estimate(job, upstream, now)
                 return PickResult(PickStatus.PICKED, upstream, cached, alone)
         return None
 
-    def min_service_seconds(self, job: Job, view: View, now: float) -> float:
+    def min_service_seconds(self, job: Job, view: UpstreamView, now: float) -> float:
         """Return a lower bound of the seconds of service if nothing else waited.
 
         It joins the best prefill and the best decoding of any upstream, found
@@ -156,32 +156,34 @@
         """
         if job.unmeasured or not len(view.members):
             return 0.0
-        if now - view.best_at > HOUSEKEEPING_SECONDS:
+        if now - view.best_updated_at > HOUSEKEEPING_SECONDS:
             self._find_best(view, now)
         tokens = self._uncached(job)
         seconds = view.best_prefill * tokens + view.best_decode * job.expected_output
         return seconds / 1000
 
-    def min_first_output_seconds(self, job: Job, view: View, now: float) -> float:
+    def min_first_output_seconds(
+        self, job: Job, view: UpstreamView, now: float
+    ) -> float:
         """Return a lower bound of the seconds to the first output, as best_case."""
         if job.unmeasured or not len(view.members):
             return 0.0
-        if now - view.best_at > HOUSEKEEPING_SECONDS:
+        if now - view.best_updated_at > HOUSEKEEPING_SECONDS:
             self._find_best(view, now)
         return view.best_prefill * self._uncached(job) / 1000
 
     def _uncached(self, job: Job) -> int:
         """Return the prompt tokens that no upstream has in its cache."""
         request = job.request
-        level, _ = self._pool.index.longest(request.prefix_hashes)
+        level, _ = self._pool.index.longest_match(request.prefix_hashes)
         if level < 0:
             return request.prompt_tokens
         lengths = request.prefix_tokens
         cached = lengths[level] if lengths else prefix_tokens(level)
         return max(0, request.prompt_tokens - cached)
 
-    def _find_best(self, view: View, now: float) -> None:
-        view.best_at = now
+    def _find_best(self, view: UpstreamView, now: float) -> None:
+        view.best_updated_at = now
         speeds = [self._pool.upstreams_by_name[name].speed for name in view.members]
         view.best_prefill = min(
             speed.prefill_seconds(1000, kind)
@@ -190,7 +192,7 @@
         )
         view.best_decode = min(speed.best_decode_seconds(1000) for speed in speeds)
 
-    def _candidates(self, job: Job, view: View) -> list[Upstream]:
+    def _candidates(self, job: Job, view: UpstreamView) -> list[Upstream]:
         upstreams_by_name = self._pool.upstreams_by_name
         tried = job.request.tried
         if len(view.members) <= SCAN_ALL_UP_TO:
@@ -199,11 +201,11 @@
             names = self._sampled(job, view)
         return [upstreams_by_name[name] for name in names if name not in tried]
 
-    def _sampled(self, job: Job, view: View) -> Iterable[str]:
+    def _sampled(self, job: Job, view: UpstreamView) -> Iterable[str]:
         samples = self._parameters.samples
         drawn = view.free if len(view.free) else view.members
         names = dict.fromkeys(drawn.sample(samples, self._rng))
-        _, holders = self._pool.index.longest(job.request.prefix_hashes)
+        _, holders = self._pool.index.longest_match(job.request.prefix_hashes)
         for name in islice(holders, PREFIX_CANDIDATES):
             if name in view.members:
                 names[name] = None
@@ -241,7 +243,9 @@
             if upstream.ledger.long_jobs >= allowed:
                 return False
         part = self._usable_fraction(job)
-        if not upstream.has_room(part) or not upstream.fits(job.kv_tokens, part):
+        if not upstream.has_free_slots(part) or not upstream.has_memory_for(
+            job.kv_tokens, part
+        ):
             return False
         if not self._isolation.allows(job.request, upstream.ledger, now):
             return False
@@ -302,7 +306,7 @@
         prefill = upstream.speed.prefill_seconds(tokens, job.kind)
         return total + self._parameters.prefix_weight * prefill
 
-    def _too_many_long_prefills(self, view: View) -> bool:
+    def _too_many_long_prefills(self, view: UpstreamView) -> bool:
         """Tell whether enough upstreams are busy with long prefills.
 
         An engine does one prefill after the other. If all were busy with long
--- a/bitterntiller/components/dispatch/pool.py
+++ b/bitterntiller/components/dispatch/pool.py
@@ -16,7 +16,11 @@
     UpstreamChange,
     UpstreamEvents,
 )
-from bitterntiller.components.dispatch.upstreams import Upstream, View, Views
+from bitterntiller.components.dispatch.upstreams import (
+    Upstream,
+    UpstreamView,
+    UpstreamViews,
+)
 from bitterntiller.components.rollouts.models import ANY_VERSION, VersionRules
 
 RESERVE_SECONDS = 1.0
@@ -41,7 +45,7 @@
     def __init__(self, parameters: PolicyParameters) -> None:
         self.speed = PoolSpeed()
         self.index = PrefixIndex()
-        self.views = Views()
+        self.views = UpstreamViews()
         self.upstreams_by_name: dict[str, Upstream] = {}
         self.work_rate = 1.0
         self.mean_service_seconds = 1.0
@@ -81,7 +85,7 @@
     @property
     def any_free(self) -> bool:
         """Tell whether any upstream can take one more request."""
-        return len(self.views.whole.free) > 0
+        return len(self.views.unrestricted.free) > 0
 
     def note_tier(self, rank: int) -> None:
         """Note that requests of a tier come here."""
@@ -106,7 +110,7 @@
         """Return how many of the tiers seen here are more important than one."""
         return self._above_by_rank.get(rank, 0.0)
 
-    def view(self, job: Job) -> View:
+    def view(self, job: Job) -> UpstreamView:
         """Return the upstreams that a request may go to, tried ones included."""
         names = job.request.upstream_names
         return self.views.get(names, self.upstreams_by_name)
@@ -138,10 +142,10 @@
                 upstream.restart()
                 self._note_change(upstream, UpstreamChange.RESTARTED, now)
         upstream.state = state
-        upstream.heard_at = now
+        upstream.last_announced_at = now
         if state.load is not None:
             upstream.ledger.apply_load_report(state.load, now)
-        upstream.prefixes.take_changes(state.cache_changes, now)
+        upstream.prefixes.apply_changes(state.cache_changes, now)
         self.refresh(upstream, now)
         return True
 
@@ -196,7 +200,7 @@
             return
         if now - job.blocked_since < RESERVE_SECONDS or not upstream.free:
             return
-        if upstream.reserved_for is None and not upstream.fits(job.kv_tokens):
+        if upstream.reserved_for is None and not upstream.has_memory_for(job.kv_tokens):
             upstream.reserved_for = job.request.request_id
             job.target = upstream
 
@@ -224,7 +228,7 @@
             upstream.free = free
             upstream.member = member
             self.views.update(upstream, member)
-        if member and not free and upstream.room(now) >= 1:
+        if member and not free and upstream.free_slots(now) >= 1:
             self._schedule_refresh(upstream, now)
 
     def update_rate_limit(self, update: RateLimitUpdate, now: float) -> None:
@@ -270,7 +274,7 @@
     def housekeep(self, now: float) -> None:
         """Look at every upstream: silence, and work that is overdue."""
         for name, upstream in list(self.upstreams_by_name.items()):
-            if upstream.has_gone(now):
+            if upstream.can_be_forgotten(now):
                 self.views.update(upstream, False)
                 self._count_slots(upstream, False)
                 upstream.prefixes.clear()
@@ -285,14 +289,14 @@
     ) -> None:
         """Note that an upstream failed; see Health.failure."""
         if upstream.health.record_failure(now, certain):
-            self._note_change(upstream, UpstreamChange.SICK, now)
+            self._note_change(upstream, UpstreamChange.UNHEALTHY, now)
 
     def note_success(self, upstream: Upstream, now: float) -> None:
         """Note a good answer of an upstream."""
         was_sick = upstream.health.unhealthy
         upstream.health.record_success()
         if was_sick:
-            self._note_change(upstream, UpstreamChange.WELL, now)
+            self._note_change(upstream, UpstreamChange.HEALTHY, now)
 
     def note_service_time(self, work: float, seconds: float) -> None:
         """Learn how fast work gets done in one place of a batch."""
@@ -308,7 +312,7 @@
     def _note_change(
         self, upstream: Upstream, change: UpstreamChange, now: float
     ) -> None:
-        self.events.note(upstream.event(change, now))
+        self.events.record(upstream.event(change, now))
 
     def _learn_from_overdue(self, upstream: Upstream, now: float) -> None:
         """Learn from work that should have been done by now.
@@ -324,19 +328,19 @@
             expected = upstream.speed.prefill_seconds(job.prefill, job.kind)
             elapsed = now - ledger.head_started_at
             if elapsed > OVERDUE_FACTOR * expected + OVERDUE_SECONDS:
-                upstream.speed.learn_first(job.kind, expected, elapsed)
+                upstream.speed.learn_prefill(job.kind, expected, elapsed)
         decoding = ledger.in_flight - len(ledger.prefilling_by_id)
-        stalled = now - upstream.worked_at
-        if upstream.shows_progress and decoding > 0 and stalled > STALL_SECONDS:
+        stalled = now - upstream.last_active_at
+        if upstream.reports_progress and decoding > 0 and stalled > STALL_SECONDS:
             upstream.speed.learn_decode(1, stalled, ledger.in_flight)
-            upstream.worked_at = now
+            upstream.last_active_at = now
 
     def _count_slots(self, upstream: Upstream, member: bool) -> None:
         """Keep the sum of slots right from the moment that an upstream is known.
 
         A new owner judges what it takes over by it, before its first housekeeping.
         """
-        slots = upstream.slots_in_use(self.mean_service_seconds) if member else 0
+        slots = upstream.usable_slots(self.mean_service_seconds) if member else 0
         self.slots += slots - self._slots_by_name.get(upstream.name, 0)
         if slots:
             self._slots_by_name[upstream.name] = slots
@@ -344,7 +348,9 @@
             self._slots_by_name.pop(upstream.name, None)
 
     def _schedule_refresh(self, upstream: Upstream, now: float) -> None:
-        when = now + max(upstream.prefill_wait(now), upstream.rate_limiter.wait(now))
+        when = now + max(
+            upstream.prefill_wait(now), upstream.rate_limiter.wait_seconds(now)
+        )
         if upstream.health.unhealthy:
             when = max(when, upstream.health.paused_until)
         if when <= now:
--- a/bitterntiller/components/dispatch/prefix.py
+++ b/bitterntiller/components/dispatch/prefix.py
@@ -6,10 +6,10 @@
 from bitterntiller.components.dispatch.const import FIRST_PREFIX_TOKENS
 from bitterntiller.components.dispatch.models import CacheChange
 
-RECENT_SECONDS = 3.0
-DOUBTFUL_WEIGHT = 0.5
-CACHE_SHARE = 0.5
-CAPACITY_GAIN = 0.05
+REMOVAL_LAG_SECONDS = 3.0
+UNCERTAIN_WEIGHT = 0.5
+INITIAL_CAPACITY_FRACTION = 0.5
+CAPACITY_FRACTION_GAIN = 0.05
 TRUST_GAIN = 0.1
 MIN_TRUST = 0.2
 
@@ -19,7 +19,7 @@
     return FIRST_PREFIX_TOKENS << level
 
 
-class _Held:
+class _CachedPrefix:
     __slots__ = ("at", "tokens")
 
     def __init__(self, tokens: int, at: float) -> None:
@@ -34,11 +34,11 @@
         self.name = name
         self.trust = 1.0
         self._index = index
-        self._held_by_hash: OrderedDict[int, _Held] = OrderedDict()
+        self._cached_by_hash: OrderedDict[int, _CachedPrefix] = OrderedDict()
         self._tokens = 0
         self._sequence: int | None = None
-        self._doubt_before = 0.0
-        self._share = CACHE_SHARE
+        self._uncertain_before = 0.0
+        self._capacity_fraction = INITIAL_CAPACITY_FRACTION
         self._capacity = 0
 
     def cached_tokens(
@@ -48,14 +48,16 @@
 
         lengths are the tokens of the prefixes where they are known.
         """
-        held_by_hash = self._held_by_hash
-        if not held_by_hash:
+        cached_by_hash = self._cached_by_hash
+        if not cached_by_hash:
             return 0
         for level in range(len(hashes) - 1, -1, -1):
-            held = held_by_hash.get(hashes[level])
-            if held is None:
+            cached_prefix = cached_by_hash.get(hashes[level])
+            if cached_prefix is None:
                 continue
-            weight = DOUBTFUL_WEIGHT if held.at < self._doubt_before else 1.0
+            weight = (
+                UNCERTAIN_WEIGHT if cached_prefix.at < self._uncertain_before else 1.0
+            )
             known = lengths[level] if lengths else prefix_tokens(level)
             tokens = min(known, prompt_tokens)
             return int(tokens * weight * self.trust)
@@ -77,10 +79,12 @@
                 )
             self._touch(prefix_hash, own_tokens, now)
         self._capacity = capacity
-        while self._tokens > capacity * self._share and self._held_by_hash:
-            self._drop(next(iter(self._held_by_hash)))
+        while (
+            self._tokens > capacity * self._capacity_fraction and self._cached_by_hash
+        ):
+            self._drop(next(iter(self._cached_by_hash)))
 
-    def correct(self, expected: int, cached: int) -> None:
+    def update_trust(self, expected: int, cached: int) -> None:
         """Compare the tokens expected in the cache with what the upstream told."""
         if expected <= 0:
             return
@@ -88,7 +92,7 @@
         self.trust += TRUST_GAIN * (ratio - self.trust)
         self.trust = max(self.trust, MIN_TRUST)
 
-    def take_changes(self, changes: Sequence[CacheChange], now: float) -> None:
+    def apply_changes(self, changes: Sequence[CacheChange], now: float) -> None:
         """Fold in cache events, which are late and may have gaps.
 
         A gap may have hidden removals: what was noted before it counts half
@@ -100,46 +104,48 @@
             if expected is not None and change.sequence <= expected:
                 continue
             if expected is not None and change.sequence > expected + 1:
-                self._doubt_before = now
+                self._uncertain_before = now
             self._sequence = change.sequence
-            self._take_change(change, now)
+            self._apply_change(change, now)
 
     def clear(self) -> None:
         """Forget all; the upstream was started anew."""
-        for prefix_hash in list(self._held_by_hash):
+        for prefix_hash in list(self._cached_by_hash):
             self._drop(prefix_hash)
         self._sequence = None
         self.trust = 1.0
 
-    def _take_change(self, change: CacheChange, now: float) -> None:
+    def _apply_change(self, change: CacheChange, now: float) -> None:
         if change.stored:
             self._touch(change.prefix_hash, FIRST_PREFIX_TOKENS, now)
             return
-        held = self._held_by_hash.get(change.prefix_hash)
-        if held is not None and held.at < now - RECENT_SECONDS:
-            self._learn_share()
+        cached_prefix = self._cached_by_hash.get(change.prefix_hash)
+        if cached_prefix is not None and cached_prefix.at < now - REMOVAL_LAG_SECONDS:
+            self._learn_capacity_fraction()
             self._drop(change.prefix_hash)
 
-    def _learn_share(self) -> None:
+    def _learn_capacity_fraction(self) -> None:
         """Learn the size of the cache: a removal tells that it is full."""
         if self._capacity <= 0:
             return
         seen = min(self._tokens / self._capacity, 1.0)
-        self._share += CAPACITY_GAIN * (1.1 * seen - self._share)
+        self._capacity_fraction += CAPACITY_FRACTION_GAIN * (
+            1.1 * seen - self._capacity_fraction
+        )
 
     def _touch(self, prefix_hash: int, tokens: int, now: float) -> None:
-        held = self._held_by_hash.get(prefix_hash)
-        if held is not None:
-            held.at = now
-            self._held_by_hash.move_to_end(prefix_hash)
+        cached_prefix = self._cached_by_hash.get(prefix_hash)
+        if cached_prefix is not None:
+            cached_prefix.at = now
+            self._cached_by_hash.move_to_end(prefix_hash)
             return
-        self._held_by_hash[prefix_hash] = _Held(tokens, now)
+        self._cached_by_hash[prefix_hash] = _CachedPrefix(tokens, now)
         self._tokens += tokens
         self._index.add(prefix_hash, self.name)
 
     def _drop(self, prefix_hash: int) -> None:
-        held = self._held_by_hash.pop(prefix_hash)
-        self._tokens -= held.tokens
+        cached_prefix = self._cached_by_hash.pop(prefix_hash)
+        self._tokens -= cached_prefix.tokens
         self._index.discard(prefix_hash, self.name)
 
 
@@ -162,7 +168,7 @@
         if not names:
             del self._names_by_hash[prefix_hash]
 
-    def longest(self, hashes: Sequence[int]) -> tuple[int, dict[str, None]]:
+    def longest_match(self, hashes: Sequence[int]) -> tuple[int, dict[str, None]]:
         """Return the level and the holders of the longest held prefix.
 
         The level is -1 and there are no holders when none is held.
--- a/bitterntiller/components/dispatch/queue.py
+++ b/bitterntiller/components/dispatch/queue.py
@@ -7,7 +7,7 @@
 from sortedcontainers import SortedDict, SortedList
 
 from bitterntiller.components.dispatch.jobs import Job
-from bitterntiller.components.dispatch.limits import WorkspaceLimiter
+from bitterntiller.components.dispatch.workspace_limiter import WorkspaceLimiter
 
 SHARED_FLOW = ""
 """The workspace of all requests when sharing is turned off."""
@@ -203,7 +203,7 @@
             if present > time:
                 heapq.heapreplace(heap, (present, entry, flow))
                 continue
-            if self._limiter.at_concurrency(name):
+            if self._limiter.at_concurrency_limit(name):
                 heapq.heappop(heap)
                 capped = self._capped_by_workspace.setdefault(name, [])
                 capped.append((group, flow))
--- a/bitterntiller/components/dispatch/drain.py
+++ b/bitterntiller/components/dispatch/rate_meters.py
@@ -33,7 +33,7 @@
         window = self._seconds * -math.expm1(-age / self._seconds)
         return self._sum / max(window, 0.1)
 
-    def youth(self, now: float) -> float:
+    def unobserved_fraction(self, now: float) -> float:
         """Return the part of its window that the meter has not seen yet, 1 to 0."""
         return max(0.0, 1.0 - (now - self._begin) / self._seconds)
 
@@ -58,11 +58,11 @@
         self._capacity = 0.0
         self._weight = 0.0
 
-    def grant(self, work: float) -> None:
+    def add_granted(self, work: float) -> None:
         """Note work that was granted."""
         self._granted += work
 
-    def interval(self, saturated: bool, now: float) -> None:
+    def close_interval(self, saturated: bool, now: float) -> None:
         """Close an interval; saturated tells whether work waits at its end."""
         elapsed = now - self._since
         if elapsed <= 0:
@@ -83,7 +83,7 @@
         return weight * measured + (1 - weight) * assumed
 
 
-def retry_after(seconds: float, rng: random.Random) -> float:
+def jittered_retry_after(seconds: float, rng: random.Random) -> float:
     """Return when to come back, from the time that the backlog needs to drain.
 
     The jitter keeps callers that were refused together from coming back
--- a/bitterntiller/components/dispatch/refusals.py
+++ b/bitterntiller/components/dispatch/refusals.py
@@ -2,11 +2,11 @@
 
 from bitterntiller.components.dispatch.jobs import Job
 from bitterntiller.components.dispatch.lifecycle import JobLifecycle
-from bitterntiller.components.dispatch.limits import WorkspaceLimiter
 from bitterntiller.components.dispatch.models import RefusalBasis, Refused
 from bitterntiller.components.dispatch.pool import Pool
 from bitterntiller.components.dispatch.wait_deadlines import WaitDeadlines
 from bitterntiller.components.dispatch.wait_estimator import WaitEstimator
+from bitterntiller.components.dispatch.workspace_limiter import WorkspaceLimiter
 from bitterntiller.core.outcomes import Reason
 
 
@@ -30,10 +30,10 @@
     def check_arrival(self, job: Job, now: float) -> Refused | None:
         """Refuse what is over its workspace's limits or late already."""
         workspace = job.workspace
-        wait = self._limiter.take_rate(workspace, now)
+        wait = self._limiter.acquire_rate(workspace, now)
         if wait > 0:
             return self._refusal(job, Reason.RATE_LIMIT, wait, now)
-        if self._limiter.at_concurrency(workspace):
+        if self._limiter.at_concurrency_limit(workspace):
             limit = self._limiter.concurrency(workspace)
             waiting = self._limiter.waiting(workspace)
             if waiting >= max(1, limit or 0):
--- a/bitterntiller/components/dispatch/scheduler.py
+++ b/bitterntiller/components/dispatch/scheduler.py
@@ -15,11 +15,10 @@
 )
 from bitterntiller.components.dispatch.describe import describe
 from bitterntiller.components.dispatch.estimator import Estimator
-from bitterntiller.components.dispatch.granting import Granting
+from bitterntiller.components.dispatch.grant_loop import GrantLoop
 from bitterntiller.components.dispatch.isolation import Isolation, NoCrashes
 from bitterntiller.components.dispatch.jobs import Job, JobState
 from bitterntiller.components.dispatch.lifecycle import JobLifecycle
-from bitterntiller.components.dispatch.limits import WorkspaceLimiter
 from bitterntiller.components.dispatch.models import (
     DEFAULT_PARAMETERS,
     CanaryAllowance,
@@ -41,6 +40,7 @@
 from bitterntiller.components.dispatch.upstream_events import UpstreamEvent
 from bitterntiller.components.dispatch.wait_deadlines import WaitDeadlines
 from bitterntiller.components.dispatch.wait_estimator import WaitEstimator
+from bitterntiller.components.dispatch.workspace_limiter import WorkspaceLimiter
 from bitterntiller.components.rollouts.models import VersionRules
 from bitterntiller.core.interfaces import CrashView
 from bitterntiller.core.outcomes import Reason
@@ -103,7 +103,7 @@
             self._limiter,
             self._wait_deadlines,
         )
-        self._granting = Granting(
+        self._granting = GrantLoop(
             self._pool,
             self._queue,
             self._jobs,
@@ -249,7 +249,7 @@
         job.tokens_at = job.granted_at = now
         job.prefill = 0 if output_tokens else request.prompt_tokens
         self._jobs.track(job)
-        self._limiter.enter(job.workspace, now)
+        self._limiter.start_request(job.workspace, now)
         self._pool.adopt(job, upstream, now)
         return []
 
--- a/bitterntiller/components/dispatch/size_estimator.py
+++ b/bitterntiller/components/dispatch/size_estimator.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from bitterntiller.components.dispatch.calls import CallSeconds
+from bitterntiller.components.dispatch.call_durations import CallDurations
 from bitterntiller.components.dispatch.const import KIND_PLAIN
 from bitterntiller.components.dispatch.jobs import Job
 from bitterntiller.components.dispatch.models import Completion, PolicyParameters
@@ -48,7 +48,7 @@
         self._answers_by_workspace: Counter[str] = Counter()
         self._mean_work = 0.0
         self._plain = parameters.kind == KIND_PLAIN
-        self._calls = CallSeconds()
+        self._calls = CallDurations()
 
     def estimate(self, job: Job) -> None:
         """Set what is expected of a new request."""
@@ -87,7 +87,7 @@
 
     def _size_call(self, job: Job) -> None:
         tokens = job.request.prompt_tokens
-        job.unmeasured = not self._calls.measured(tokens)
+        job.unmeasured = not self._calls.is_measured(tokens)
         job.expected_output = self._calls.seconds(tokens)
         job.work = OVERHEAD_SECONDS + job.expected_output
 
--- a/bitterntiller/components/dispatch/speed.py
+++ b/bitterntiller/components/dispatch/speed.py
@@ -12,18 +12,18 @@
 SHORT = 0
 LONG = 1
 OVERHEAD_SECONDS = 0.01
-BUCKETS = 12
-PLAIN_GAIN = 0.1
+CONCURRENCY_BUCKETS = 12
+PLAIN_SCALE_GAIN = 0.1
 POOL_PREFILL_GAIN = 0.002
 POOL_DECODE_GAIN = 0.0005
-MAX_RATIO = 8.0
+MAX_SAMPLE_RATIO = 8.0
 MIN_DEVIATION = 0.05
-SCALE_SECONDS = 4.0
-BUCKET_SECONDS = 30.0
+SCALE_TIME_CONSTANT = 4.0
+BUCKET_TIME_CONSTANT = 30.0
 MIN_SCALE = 0.05
 MAX_SCALE = 50.0
-BEST_DOWN_SECONDS = 1.0
-BEST_UP_SECONDS = 30.0
+BEST_DECREASE_TIME_CONSTANT = 1.0
+BEST_INCREASE_TIME_CONSTANT = 30.0
 
 
 class Estimate(NamedTuple):
@@ -62,7 +62,7 @@
         """Return the seconds of decoding when nothing is in the way."""
         ...
 
-    def learn_first(self, kind: int, expected: float, seen: float) -> None:
+    def learn_prefill(self, kind: int, expected: float, measured: float) -> None:
         """Learn from the seconds to the first token."""
         ...
 
@@ -70,28 +70,28 @@
         """Learn from the seconds that so many tokens took."""
         ...
 
-    def learn_total(self, expected: float, seen: float) -> None:
+    def learn_total(self, expected: float, measured: float) -> None:
         """Learn how far the estimates of the total are off."""
         ...
 
 
-def _clip(ratio: float) -> float:
-    return min(max(ratio, 1 / MAX_RATIO), MAX_RATIO)
+def _clip_ratio(ratio: float) -> float:
+    return min(max(ratio, 1 / MAX_SAMPLE_RATIO), MAX_SAMPLE_RATIO)
 
 
-def _bucket(in_flight: int) -> int:
-    return min(max(in_flight, 1).bit_length() - 1, BUCKETS - 1)
+def _concurrency_bucket(in_flight: int) -> int:
+    return min(max(in_flight, 1).bit_length() - 1, CONCURRENCY_BUCKETS - 1)
 
 
-class _Deviation:
+class _DeviationTracker:
     def __init__(self) -> None:
         self.deviation = 0.3
 
-    def learn_total(self, expected: float, seen: float) -> None:
+    def learn_total(self, expected: float, measured: float) -> None:
         """Learn how far the estimates of the total are off."""
-        if expected <= 0 or seen <= 0:
+        if expected <= 0 or measured <= 0:
             return
-        error = abs(math.log(_clip(seen / expected)))
+        error = abs(math.log(_clip_ratio(measured / expected)))
         self.deviation += 0.05 * (error - self.deviation)
         self.deviation = max(self.deviation, MIN_DEVIATION)
 
@@ -110,13 +110,13 @@
         self._prefill_samples = 0
         self._decode_samples = 0
 
-    def note_prefill(self, rate: float) -> None:
+    def record_prefill_rate(self, rate: float) -> None:
         """Note the prefill rate of one upstream, in tokens a second."""
         self._prefill_samples += 1
         gain = max(1 / self._prefill_samples, POOL_PREFILL_GAIN)
         self.prefill_rate += gain * (rate - self.prefill_rate)
 
-    def note_decode(self, seconds: float) -> None:
+    def record_decode_time(self, seconds: float) -> None:
         """Note the seconds per token."""
         self._decode_samples += 1
         gain = max(1 / self._decode_samples, POOL_DECODE_GAIN)
@@ -128,7 +128,7 @@
         return OVERHEAD_SECONDS + prefill + output_tokens * self.seconds_per_token
 
 
-class EngineSpeed(_Deviation):
+class EngineSpeed(_DeviationTracker):
     """Prefill rate by kind of work, decode time by requests in flight.
 
     scale follows a change of the whole engine's speed within a few samples,
@@ -140,17 +140,17 @@
     def __init__(self, pool: PoolSpeed) -> None:
         super().__init__()
         self._pool = pool
-        self._rates: list[float | None] = [None, None]
+        self._prefill_rate_by_kind: list[float | None] = [None, None]
         self._samples = [0, 0]
-        self._seconds_by_bucket: list[float | None] = [None] * BUCKETS
+        self._seconds_by_bucket: list[float | None] = [None] * CONCURRENCY_BUCKETS
         self._best: float | None = None
         self.scale = 1.0
 
     def prefill_rate(self, kind: int) -> float:
         """Return the prefill rate in tokens a second."""
-        rate = self._rates[kind]
+        rate = self._prefill_rate_by_kind[kind]
         if rate is None:
-            rate = self._rates[1 - kind]
+            rate = self._prefill_rate_by_kind[1 - kind]
         return self._pool.prefill_rate if rate is None else rate
 
     def prefill_seconds(self, tokens: int, kind: int) -> float:
@@ -159,7 +159,7 @@
 
     def seconds_per_token(self, in_flight: int) -> float:
         """Return the seconds between tokens beside so many in flight."""
-        return self._base(_bucket(in_flight)) * self.scale
+        return self._nearest_bucket_seconds(_concurrency_bucket(in_flight)) * self.scale
 
     def best_seconds_per_token(self) -> float:
         """Return the seconds between tokens when nothing is in the way."""
@@ -173,65 +173,72 @@
         """Return the seconds of decoding when nothing is in the way."""
         return tokens * self.best_seconds_per_token()
 
-    def learn_first(self, kind: int, expected: float, seen: float) -> None:
+    def learn_prefill(self, kind: int, expected: float, measured: float) -> None:
         """Learn from the seconds to the first token.
 
         The rate moves by the ratio of the seen and the expected time, so that
         the time spent behind other prefills calibrates it as well. Times near
         the overhead say nothing of the rate.
         """
-        if max(expected, seen) < 4 * OVERHEAD_SECONDS:
+        if max(expected, measured) < 4 * OVERHEAD_SECONDS:
             return
-        ratio = _clip(max(seen, 0.001) / max(expected, 0.001))
+        ratio = _clip_ratio(max(measured, 0.001) / max(expected, 0.001))
         self._samples[kind] += 1
         gain = max(0.8 / self._samples[kind], 0.2)
         rate = self.prefill_rate(kind) * ratio**-gain
-        self._rates[kind] = rate
-        self._pool.note_prefill(rate)
+        self._prefill_rate_by_kind[kind] = rate
+        self._pool.record_prefill_rate(rate)
 
     def learn_decode(self, tokens: float, seconds: float, in_flight: int) -> None:
         """Learn from the seconds that so many tokens took."""
         if tokens < 1 or seconds <= 0:
             return
-        seen = seconds / tokens
-        bucket = _bucket(in_flight)
+        measured = seconds / tokens
+        bucket = _concurrency_bucket(in_flight)
         known = self._seconds_by_bucket[bucket]
-        self._pool.note_decode(seen)
+        self._pool.record_decode_time(measured)
         span = seconds / max(in_flight, 1)
-        self._learn_best(seen, span)
+        self._learn_best(measured, span)
         if known is None:
-            self._seconds_by_bucket[bucket] = seen / self.scale
+            self._seconds_by_bucket[bucket] = measured / self.scale
             return
-        ratio = _clip(seen / (known * self.scale))
-        fast = -math.expm1(-span / SCALE_SECONDS)
-        slow = -math.expm1(-span / BUCKET_SECONDS)
+        ratio = _clip_ratio(measured / (known * self.scale))
+        fast = -math.expm1(-span / SCALE_TIME_CONSTANT)
+        slow = -math.expm1(-span / BUCKET_TIME_CONSTANT)
         self._seconds_by_bucket[bucket] = known * ratio**slow
         scale = self.scale * ratio ** (fast - slow)
         self.scale = min(max(scale, MIN_SCALE), MAX_SCALE)
 
-    def _learn_best(self, seen: float, span: float) -> None:
+    def _learn_best(self, measured: float, span: float) -> None:
         """Follow the low end of the samples: quickly down, slowly up."""
         if self._best is None:
             # The first samples may come from the midst of a burst. Too high a
             # guess would refuse requests as late that an idle upstream serves
             # well, so it begins low and is corrected within seconds.
-            self._best = min(seen, self._pool.seconds_per_token)
+            self._best = min(measured, self._pool.seconds_per_token)
             return
-        tau = BEST_DOWN_SECONDS if seen < self._best else BEST_UP_SECONDS
-        self._best -= math.expm1(-span / tau) * (seen - self._best)
-
-    def _base(self, bucket: int) -> float:
-        for distance in range(BUCKETS):
+        tau = (
+            BEST_DECREASE_TIME_CONSTANT
+            if measured < self._best
+            else BEST_INCREASE_TIME_CONSTANT
+        )
+        self._best -= math.expm1(-span / tau) * (measured - self._best)
+
+    def _nearest_bucket_seconds(self, bucket: int) -> float:
+        for distance in range(CONCURRENCY_BUCKETS):
             below = bucket - distance
             if below >= 0 and self._seconds_by_bucket[below] is not None:
                 return self._seconds_by_bucket[below]
             above = bucket + distance
-            if above < BUCKETS and self._seconds_by_bucket[above] is not None:
+            if (
+                above < CONCURRENCY_BUCKETS
+                and self._seconds_by_bucket[above] is not None
+            ):
                 return self._seconds_by_bucket[above]
         return self._pool.seconds_per_token
 
 
-class PlainSpeed(_Deviation):
+class PlainSpeed(_DeviationTracker):
     """Seconds at one plain service for each expected second of a call.
 
     What Speed calls tokens are seconds here: the mean time of calls of that
@@ -240,7 +247,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._learned = False
+        self._has_sample = False
         self.scale = 1.0
 
     def prefill_seconds(self, tokens: int, kind: int) -> float:
@@ -263,17 +270,17 @@
         """Return the seconds of one call."""
         return self.decode_seconds(tokens, 1)
 
-    def learn_first(self, kind: int, expected: float, seen: float) -> None:
+    def learn_prefill(self, kind: int, expected: float, measured: float) -> None:
         """Learn nothing: a plain service has no prefill."""
 
     def learn_decode(self, tokens: float, seconds: float, in_flight: int) -> None:
         """Learn from the seconds of one call."""
         if seconds <= 0 or tokens <= 0:
             return
-        seen = seconds / tokens
-        gain = PLAIN_GAIN if self._learned else 1.0
-        self._learned = True
-        self.scale *= _clip(seen / self.scale) ** gain
+        measured = seconds / tokens
+        gain = PLAIN_SCALE_GAIN if self._has_sample else 1.0
+        self._has_sample = True
+        self.scale *= _clip_ratio(measured / self.scale) ** gain
 
 
 def new_speed(kind: str, pool: PoolSpeed) -> EngineSpeed | PlainSpeed:
--- a/bitterntiller/components/dispatch/typical.py
+++ b/bitterntiller/components/dispatch/typical_prefill.py
@@ -1,6 +1,6 @@
 """The typical prefill of the requests of each tier."""
 
-GAIN = 0.02
+MEAN_GAIN = 0.02
 """Weight of one request in the running means."""
 
 
@@ -18,8 +18,8 @@
         """Learn from the expected prefill of a new request."""
         square = seconds * seconds
         mean, mean_square = self._moments_by_rank.get(rank, (seconds, square))
-        mean += GAIN * (seconds - mean)
-        mean_square += GAIN * (square - mean_square)
+        mean += MEAN_GAIN * (seconds - mean)
+        mean_square += MEAN_GAIN * (square - mean_square)
         self._moments_by_rank[rank] = (mean, mean_square)
 
     def seconds(self, rank: int) -> float:
--- a/bitterntiller/components/dispatch/upstream_events.py
+++ b/bitterntiller/components/dispatch/upstream_events.py
@@ -4,7 +4,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-MOST_EVENTS = 256
+MAX_EVENTS = 256
 """Changes that are kept; the oldest goes first if nobody takes them."""
 
 
@@ -21,8 +21,8 @@
     LEAVING = "leaving"
     SILENT = "silent"
     FORGOTTEN = "forgotten"
-    SICK = "sick"
-    WELL = "well"
+    UNHEALTHY = "sick"
+    HEALTHY = "well"
     LIMITED = "limited"
     UNLIMITED = "unlimited"
     WITHHELD = "withheld"
@@ -38,8 +38,8 @@
 
     upstream: str
     change: UpstreamChange
-    heard: float
-    worked: float
+    announcement_age: float
+    activity_age: float
     in_flight: int
     probe_in: float | None = None
     limit: float | None = None
@@ -49,9 +49,9 @@
     """Collects changes in their order."""
 
     def __init__(self) -> None:
-        self._events: deque[UpstreamEvent] = deque(maxlen=MOST_EVENTS)
+        self._events: deque[UpstreamEvent] = deque(maxlen=MAX_EVENTS)
 
-    def note(self, event: UpstreamEvent) -> None:
+    def record(self, event: UpstreamEvent) -> None:
         """Note a change."""
         self._events.append(event)
 
--- a/bitterntiller/components/dispatch/upstream_rate_limiter.py
+++ b/bitterntiller/components/dispatch/upstream_rate_limiter.py
@@ -3,7 +3,7 @@
 BURST_SECONDS = 1.0
 """For how long an unused limit can be saved up."""
 
-LEAST_RATE = 0.1
+MIN_RATE = 0.1
 """Requests a second that are sent all the same: without any answer nothing would tell
 that the limit has ended."""
 
@@ -36,7 +36,7 @@
             return False
         if self.limit is None:
             self._tokens = 0.0
-        self._fill(now)
+        self._refill(now)
         self.limit = limit
         self._tokens = min(self._tokens, self._burst())
         return True
@@ -45,19 +45,19 @@
         """Return how long ago the newest answer was given that was heard of."""
         return now - self._updated_at
 
-    def wait(self, now: float) -> float:
+    def wait_seconds(self, now: float) -> float:
         """Return the seconds until one more request may be sent."""
         if self.limit is None:
             return 0.0
-        self._fill(now)
-        lacking = 1.0 - self._tokens
-        return 0.0 if lacking <= _ROUNDING else lacking / self._rate()
+        self._refill(now)
+        missing = 1.0 - self._tokens
+        return 0.0 if missing <= _ROUNDING_ERROR else missing / self._rate()
 
     def acquire(self, now: float) -> None:
         """Count a request that is granted."""
         if self.limit is None:
             return
-        self._fill(now)
+        self._refill(now)
         self._tokens -= 1.0
 
     def sustained_concurrency(self, seconds: float) -> float:
@@ -65,17 +65,17 @@
         return float("inf") if self.limit is None else self._rate() * seconds
 
     def _rate(self) -> float:
-        return max(self.limit or 0.0, LEAST_RATE)
+        return max(self.limit or 0.0, MIN_RATE)
 
     def _burst(self) -> float:
         return max(1.0, self._rate() * BURST_SECONDS)
 
-    def _fill(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         elapsed = max(0.0, now - self._filled_at)
         self._filled_at = now
         if self.limit is not None:
             self._tokens = min(self._burst(), self._tokens + elapsed * self._rate())
 
 
-_ROUNDING = 1e-9
+_ROUNDING_ERROR = 1e-9
 """By how much a sum of parts may differ from the whole."""
--- a/bitterntiller/components/dispatch/upstreams.py
+++ b/bitterntiller/components/dispatch/upstreams.py
@@ -20,10 +20,10 @@
 from bitterntiller.components.dispatch.upstream_rate_limiter import UpstreamRateLimiter
 from bitterntiller.components.rollouts.const import LABEL_VERSION
 
-WORKED_SECONDS = 2.0
+ACTIVITY_SECONDS = 2.0
 """How long an answer proves that an upstream is there which control does not hear."""
 
-Names = frozenset[str] | None
+AllowedNames = frozenset[str] | None
 """The names that requests are restricted to; None is all upstreams."""
 
 
@@ -40,9 +40,9 @@
     ) -> None:
         self.name = state.name
         self.state = state
-        self.heard_at = now
-        self.worked_at = now
-        self.tried_at = float("-inf")
+        self.last_announced_at = now
+        self.last_active_at = now
+        self.last_granted_at = float("-inf")
         self.ledger = Ledger()
         self._kind = parameters.kind
         self._pool_speed = pool
@@ -53,11 +53,11 @@
         self.rate_limiter = UpstreamRateLimiter()
         self.prefixes = PrefixCache(state.name, index)
         self.reserved_for: str | None = None
-        self.shows_progress = False
+        self.reports_progress = False
         self.member = False
         self.free = False
-        self._silence = parameters.silence_seconds
-        self._window = parameters.prefill_window
+        self._silence_seconds = parameters.silence_seconds
+        self._prefill_window = parameters.prefill_window
 
     def restart(self) -> None:
         """Forget what its former incarnation ran, held, failed at and how fast it was.
@@ -75,12 +75,12 @@
 
     def event(self, change: UpstreamChange, now: float) -> UpstreamEvent:
         """Return a change of what is believed here, with what it rests on."""
-        unhealthy = change is UpstreamChange.SICK
+        unhealthy = change is UpstreamChange.UNHEALTHY
         return UpstreamEvent(
             self.name,
             change,
-            heard=now - self.heard_at,
-            worked=now - self.worked_at,
+            announcement_age=now - self.last_announced_at,
+            activity_age=now - self.last_active_at,
             in_flight=self.ledger.in_flight,
             probe_in=self.health.paused_until - now if unhealthy else None,
             limit=self.rate_limiter.limit,
@@ -97,11 +97,14 @@
         One that control does not hear may be cut off from control only: it is used
         on as long as its answers come.
         """
-        if self.state.silent and now - self.worked_at > WORKED_SECONDS:
+        if self.state.silent and now - self.last_active_at > ACTIVITY_SECONDS:
             return False
-        return not self.state.leaving and now - self.heard_at <= self._silence
+        return (
+            not self.state.leaving
+            and now - self.last_announced_at <= self._silence_seconds
+        )
 
-    def has_gone(self, now: float) -> bool:
+    def can_be_forgotten(self, now: float) -> bool:
         """Tell whether the upstream may be forgotten: it is not there, for long.
 
         The age of its announcement alone would not do. Where owners are told of
@@ -110,9 +113,12 @@
         """
         if self.usable(now) or self.ledger.in_flight:
             return False
-        return now - max(self.heard_at, self.worked_at) > FORGET_UPSTREAM_SECONDS
+        return (
+            now - max(self.last_announced_at, self.last_active_at)
+            > FORGET_UPSTREAM_SECONDS
+        )
 
-    def room(self, now: float) -> float:
+    def free_slots(self, now: float) -> float:
         """Return how many more requests may be in flight."""
         limit = self.limit.limit(self.state.slots)
         return (
@@ -123,24 +129,26 @@
         """Return the seconds until the prefill here is near enough to its end."""
         if not self.ledger.prefilling_by_id:
             return 0.0
-        return max(0.0, self.ledger.prefill_backlog(self.speed, now) - self._window)
+        return max(
+            0.0, self.ledger.prefill_backlog(self.speed, now) - self._prefill_window
+        )
 
     def can_take(self, now: float) -> bool:
         """Tell whether one more request may be sent now."""
         return (
             self.usable(now)
-            and self.room(now) >= 1
+            and self.free_slots(now) >= 1
             and self.health.allows_request(self.ledger.in_flight, now)
             and self.prefill_wait(now) <= 0.0
-            and self.rate_limiter.wait(now) <= 0.0
+            and self.rate_limiter.wait_seconds(now) <= 0.0
         )
 
-    def slots_in_use(self, seconds: float) -> int:
+    def usable_slots(self, seconds: float) -> int:
         """Return how many requests of so many seconds each it can have at once."""
         slots = self.limit.limit(self.state.slots)
         return max(1, int(min(slots, self.rate_limiter.sustained_concurrency(seconds))))
 
-    def in_doubt(self, now: float) -> bool:
+    def needs_speed_probe(self, now: float) -> bool:
         """Tell whether what is known of its speed is nothing, or old.
 
         An upstream that was slow for a while would otherwise get no work, since
@@ -148,21 +156,21 @@
         It would show as a service that refuses everything beside idle upstreams.
         One request at a time, every few seconds, is risked to find out.
         """
-        return not self.ledger.in_flight and now - self.tried_at >= PROBE_SECONDS
+        return not self.ledger.in_flight and now - self.last_granted_at >= PROBE_SECONDS
 
-    def has_room(self, part: float) -> bool:
+    def has_free_slots(self, fraction: float) -> bool:
         """Tell whether one more request keeps within a part of the slots."""
-        if part >= 1.0:
+        if fraction >= 1.0:
             return True
         slots = self.limit.limit(self.state.slots)
-        return self.ledger.in_flight < max(1.0, part * slots)
+        return self.ledger.in_flight < max(1.0, fraction * slots)
 
-    def fits(self, kv: int, part: float = 1.0) -> bool:
+    def has_memory_for(self, kv_tokens: int, fraction: float = 1.0) -> bool:
         """Tell whether a part of the memory holds so many tokens more."""
-        limit = self.state.kv_tokens * part
+        limit = self.state.kv_tokens * fraction
         if limit <= 0 or not self.ledger.jobs_by_id:
             return True
-        return self.ledger.kv_tokens + kv <= limit
+        return self.ledger.kv_tokens + kv_tokens <= limit
 
 
 class NameSet:
@@ -205,18 +213,18 @@
         return [names[int(rng.random() * size)] for _ in range(count)]
 
 
-class View:
+class UpstreamView:
     """The upstreams that one set of names allows, and the free ones of them.
 
     best_prefill and best_decode are the least expected seconds of a thousand
     tokens on any of them, as found at best_at.
     """
 
-    def __init__(self, names: Names) -> None:
+    def __init__(self, names: AllowedNames) -> None:
         self.names = names
         self.members = NameSet()
         self.free = NameSet()
-        self.best_at = float("-inf")
+        self.best_updated_at = float("-inf")
         self.best_prefill = 0.0
         self.best_decode = 0.0
 
@@ -225,28 +233,32 @@
         return self.names is None or name in self.names
 
 
-class Views:
+class UpstreamViews:
     """One view for each set of names that requests are restricted to."""
 
     MAX_VIEWS = 256
 
     def __init__(self) -> None:
-        self.whole = View(None)
-        self._views_by_names: dict[Names, View] = {None: self.whole}
-
-    def get(self, names: Names, upstreams_by_name: dict[str, Upstream]) -> View:
+        self.unrestricted = UpstreamView(None)
+        self._views_by_names: dict[AllowedNames, UpstreamView] = {
+            None: self.unrestricted
+        }
+
+    def get(
+        self, names: AllowedNames, upstreams_by_name: dict[str, Upstream]
+    ) -> UpstreamView:
         """Return the view of a set of names, made when it is first asked for."""
         view = self._views_by_names.get(names)
         if view is None:
             # Selectors that operators change leave views behind; they are made
             # anew on demand, so all may be dropped when there are too many.
             if len(self._views_by_names) >= self.MAX_VIEWS:
-                self._views_by_names = {None: self.whole}
-            view = self._views_by_names[names] = View(names)
+                self._views_by_names = {None: self.unrestricted}
+            view = self._views_by_names[names] = UpstreamView(names)
             for name in names or ():
                 upstream = upstreams_by_name.get(name)
                 if upstream is not None and upstream.member:
-                    self._set(view, upstream)
+                    self._update_view(view, upstream)
         return view
 
     def update(self, upstream: Upstream, member: bool) -> None:
@@ -258,10 +270,10 @@
                 view.members.discard(upstream.name)
                 view.free.discard(upstream.name)
                 continue
-            self._set(view, upstream)
+            self._update_view(view, upstream)
 
     @staticmethod
-    def _set(view: View, upstream: Upstream) -> None:
+    def _update_view(view: UpstreamView, upstream: Upstream) -> None:
         view.members.add(upstream.name)
         if upstream.free:
             view.free.add(upstream.name)
--- a/bitterntiller/components/dispatch/wait_deadlines.py
+++ b/bitterntiller/components/dispatch/wait_deadlines.py
@@ -8,7 +8,7 @@
 from bitterntiller.components.dispatch.picker import UpstreamPicker
 from bitterntiller.components.dispatch.pool import Pool
 from bitterntiller.components.dispatch.timers import JobTimers
-from bitterntiller.components.dispatch.typical import TypicalPrefill
+from bitterntiller.components.dispatch.typical_prefill import TypicalPrefill
 
 REFUSAL_LEAD_SECONDS = 0.2
 """How long before its caller gives up a request is refused, so that the refusal still
--- a/bitterntiller/components/dispatch/wait_estimator.py
+++ b/bitterntiller/components/dispatch/wait_estimator.py
@@ -2,15 +2,15 @@
 
 import random
 
-from bitterntiller.components.dispatch.drain import (
-    CapacityMeter,
-    RateMeter,
-    retry_after,
-)
 from bitterntiller.components.dispatch.jobs import Job
-from bitterntiller.components.dispatch.limits import WorkspaceLimiter
 from bitterntiller.components.dispatch.pool import Pool
 from bitterntiller.components.dispatch.queue import PoolQueue
+from bitterntiller.components.dispatch.rate_meters import (
+    CapacityMeter,
+    RateMeter,
+    jittered_retry_after,
+)
+from bitterntiller.components.dispatch.workspace_limiter import WorkspaceLimiter
 from bitterntiller.core.decaying import RETRY_DECAY_SECONDS, DecayingSum
 
 METER_SECONDS = 5.0
@@ -51,7 +51,7 @@
     def note_grant(self, job: Job, now: float) -> None:
         """Note the work of a request that was granted."""
         self._meter(self._drains_by_rank, job.rank, now).add(job.work, now)
-        self._capacity.grant(job.work)
+        self._capacity.add_granted(job.work)
 
     def note_refused(self, job: Job, now: float) -> None:
         """Note the work of a request whose caller is told to come back."""
@@ -60,7 +60,7 @@
     def close_interval(self, now: float) -> None:
         """Close an interval of measuring the capacity."""
         saturated = any(tier.count for tier in self._queue.tiers_by_rank.values())
-        self._capacity.interval(saturated and not self._pool.any_free, now)
+        self._capacity.close_interval(saturated and not self._pool.any_free, now)
 
     def capacity(self) -> float:
         """Return the work that the pool gets done in a second."""
@@ -113,14 +113,14 @@
                 own += tier.work
         capacity = self.capacity()
         meter = self._meter(self._drains_by_rank, rank, now)
-        least = max(MIN_SHARE, meter.youth(now)) * capacity
+        least = max(MIN_SHARE, meter.unobserved_fraction(now)) * capacity
         drain = max(meter.rate(now), least)
         again = self._refused.sum(now)
-        return retry_after((above + again) / capacity + own / drain, self._rng)
+        return jittered_retry_after((above + again) / capacity + own / drain, self._rng)
 
     def retry_without_upstream(self) -> float:
         """Return when a caller should come back if no upstream is there, in seconds."""
-        return retry_after(NO_UPSTREAM_RETRY_SECONDS, self._rng)
+        return jittered_retry_after(NO_UPSTREAM_RETRY_SECONDS, self._rng)
 
     def _sharing_factor(self, job: Job) -> float:
         """Return how many times longer sharing makes the wait of a workspace."""
@@ -134,7 +134,7 @@
         """Return the part of the pool that a request may go to."""
         if job.request.upstream_names is None:
             return 1.0
-        whole = max(1, len(self._pool.views.whole.members))
+        whole = max(1, len(self._pool.views.unrestricted.members))
         return max(1, len(self._pool.view(job).members)) / whole
 
     def _arrival_rate(self, rank: int, now: float) -> float:
--- a/bitterntiller/components/dispatch/wire.py
+++ b/bitterntiller/components/dispatch/wire.py
@@ -37,14 +37,14 @@
         tried=tuple(message.tried),
         upstream_names=upstream_names,
         prefix_tokens=tuple(message.prefix_tokens or ()),
-        first_by=_time(message.first_by_ms, now),
-        start_by=_time(message.start_by_ms, now),
+        first_by=_deadline(message.first_by_ms, now),
+        start_by=_deadline(message.start_by_ms, now),
         fingerprint=message.fingerprint or 0,
         route=message.route or "",
     )
 
 
-def _time(left_ms: int | None, now: float) -> float | None:
+def _deadline(left_ms: int | None, now: float) -> float | None:
     return None if left_ms is None else now + left_ms / 1000
 
 
--- a/bitterntiller/components/dispatch/limits.py
+++ b/bitterntiller/components/dispatch/workspace_limiter.py
@@ -34,7 +34,7 @@
         """Return how many requests of a workspace may be in flight."""
         return self._limits_by_workspace.get(workspace, NO_LIMITS).concurrency
 
-    def at_concurrency(self, workspace: str) -> bool:
+    def at_concurrency_limit(self, workspace: str) -> bool:
         """Tell whether a workspace has all in flight that it may."""
         limit = self.concurrency(workspace)
         if limit is None:
@@ -42,7 +42,7 @@
         usage = self._usage_by_workspace.get(workspace)
         return usage is not None and usage.in_flight >= limit
 
-    def take_rate(self, workspace: str, now: float) -> float:
+    def acquire_rate(self, workspace: str, now: float) -> float:
         """Take one request from the rate; return the seconds to wait, 0 if taken.
 
         The bucket holds one second's worth, and at least one request.
@@ -51,7 +51,7 @@
         if rate is None:
             return 0.0
         burst = max(rate, 1.0)
-        usage = self._usage(workspace, now)
+        usage = self._usage_of(workspace, now)
         refill = (now - usage.filled_at) * rate
         usage.tokens = min(burst, usage.tokens + refill)
         usage.filled_at = now
@@ -60,21 +60,21 @@
             return 0.0
         return (1.0 - usage.tokens) / max(rate, 0.001)
 
-    def enter(self, workspace: str, now: float) -> None:
+    def start_request(self, workspace: str, now: float) -> None:
         """Count a request in flight."""
-        self._usage(workspace, now).in_flight += 1
+        self._usage_of(workspace, now).in_flight += 1
 
-    def leave(self, workspace: str) -> None:
+    def finish_request(self, workspace: str) -> None:
         """Count one request in flight less."""
         usage = self._usage_by_workspace[workspace]
         usage.in_flight -= 1
-        self._forget_idle(workspace, usage)
+        self._drop_if_idle(workspace, usage)
 
-    def wait(self, workspace: str, by: int, now: float) -> None:
+    def add_waiting(self, workspace: str, count: int, now: float) -> None:
         """Count requests that wait."""
-        usage = self._usage(workspace, now)
-        usage.waiting += by
-        self._forget_idle(workspace, usage)
+        usage = self._usage_of(workspace, now)
+        usage.waiting += count
+        self._drop_if_idle(workspace, usage)
 
     def waiting(self, workspace: str) -> int:
         """Return how many requests of a workspace wait."""
@@ -86,7 +86,7 @@
         usage = self._usage_by_workspace.get(workspace)
         return 0 if usage is None else usage.in_flight
 
-    def _forget_idle(self, workspace: str, usage: _Usage) -> None:
+    def _drop_if_idle(self, workspace: str, usage: _Usage) -> None:
         """Drop the count of an idle workspace, so that the mapping stays small.
 
         The fill of a bucket must be kept, or a workspace could refill it by
@@ -96,7 +96,7 @@
         if not usage.in_flight and not usage.waiting and limits.rate is None:
             del self._usage_by_workspace[workspace]
 
-    def _usage(self, workspace: str, now: float) -> _Usage:
+    def _usage_of(self, workspace: str, now: float) -> _Usage:
         usage = self._usage_by_workspace.get(workspace)
         if usage is None:
             rate = self._limits_by_workspace.get(workspace, NO_LIMITS).rate or 0.0
--- a/bitterntiller/components/rollouts/reporter.py
+++ b/bitterntiller/components/rollouts/reporter.py
@@ -52,7 +52,7 @@
         """Return once a rollout of an owned pool's service is judged."""
         ...
 
-    async def async_allow(
+    async def async_renew_allowance(
         self, pool: Any, number: int, more: int, until: float
     ) -> None:
         """Renew the allowance of a rollout's trial."""
@@ -123,7 +123,7 @@
             return
         if trial.began is None:
             trial.began = sent_at - (reply.elapsed_ms or 0) / 1000
-        await self._owner.async_allow(
+        await self._owner.async_renew_allowance(
             pool, trial.number, reply.allowed, sent_at + ALLOWANCE_SECONDS
         )
         self._note_exposed(pool, trial, reply.allowed)
--- a/tests/components/dispatch/test_foreign_work.py
+++ b/tests/components/dispatch/test_foreign_work.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from bitterntiller.components.dispatch import FED_PARAMETERS
+from bitterntiller.components.dispatch import REGISTERED_PARAMETERS
 from bitterntiller.components.dispatch.models import Granted, UpstreamLoad
 from bitterntiller.components.dispatch.scheduler import PoolScheduler
 
@@ -14,7 +14,7 @@
 
 def full_of_other_work(kind: str) -> tuple[PoolScheduler, float]:
     """Return an owner whose upstream has told of twice its slots, and the time."""
-    scheduler = PoolScheduler(FED_PARAMETERS._replace(kind=kind))
+    scheduler = PoolScheduler(REGISTERED_PARAMETERS._replace(kind=kind))
     scheduler.announce(upstream(slots=SLOTS), NOW)
     now = NOW
     for number in range(8):
--- a/tests/components/dispatch/test_isolation.py
+++ b/tests/components/dispatch/test_isolation.py
@@ -8,7 +8,7 @@
 from bitterntiller.components.crashes import const
 from bitterntiller.components.crashes.history import CrashHistory
 from bitterntiller.components.crashes.models import Clearing, Crash, CrashUpdate
-from bitterntiller.components.dispatch import FED_PARAMETERS
+from bitterntiller.components.dispatch import REGISTERED_PARAMETERS
 from bitterntiller.components.dispatch.models import Decision, Granted, Refused
 from bitterntiller.components.dispatch.scheduler import PoolScheduler
 from bitterntiller.core.outcomes import Reason
@@ -22,7 +22,7 @@
 
 
 def pool(history: CrashHistory, upstreams: int) -> PoolScheduler:
-    scheduler = PoolScheduler(FED_PARAMETERS, history)
+    scheduler = PoolScheduler(REGISTERED_PARAMETERS, history)
     for number in range(upstreams):
         scheduler.announce(build.upstream(f"e{number}", slots=SLOTS), NOW)
     return scheduler
@@ -98,7 +98,7 @@
     history = CrashHistory()
     history.merge(crashed(POISON, 3), NOW)
     later = NOW + history.quarantined_for(POISON, NOW) + 1
-    scheduler = PoolScheduler(FED_PARAMETERS, history)
+    scheduler = PoolScheduler(REGISTERED_PARAMETERS, history)
     for name in ("e1", "e2"):
         scheduler.announce(build.upstream(name), later)
     times = {"arrived": later, "deadline": later + 30}
--- a/tests/components/dispatch/test_objectives.py
+++ b/tests/components/dispatch/test_objectives.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bitterntiller.components.dispatch import FED_PARAMETERS
+from bitterntiller.components.dispatch import REGISTERED_PARAMETERS
 from bitterntiller.components.dispatch.models import Decision, Granted, Refused
 from bitterntiller.components.dispatch.scheduler import PoolScheduler
 from bitterntiller.core.outcomes import Reason
@@ -15,7 +15,7 @@
 
 
 def scheduler(**changes: Any) -> PoolScheduler:
-    made = PoolScheduler(FED_PARAMETERS._replace(**changes))
+    made = PoolScheduler(REGISTERED_PARAMETERS._replace(**changes))
     made.announce(upstream(slots=1), NOW)
     return made
 
@@ -35,7 +35,7 @@
     Room that was kept for higher tiers, and a bound learned from latency, held a
     third of the slots back though nothing that ran was in danger.
     """
-    made = PoolScheduler(FED_PARAMETERS)
+    made = PoolScheduler(REGISTERED_PARAMETERS)
     made.announce(upstream(slots=8), NOW)
     granted = []
     for number in range(8):
@@ -63,7 +63,7 @@
 
 def test_large_request_keeps_its_place_as_long_as_a_small_one():
     """Large requests are refused in a long queue, small ones behind them served."""
-    made = PoolScheduler(FED_PARAMETERS)
+    made = PoolScheduler(REGISTERED_PARAMETERS)
     made.announce(upstream(slots=1), NOW)
     for number in range(20):
         asked = request(f"r{number}", first_by=NOW + 0.4, start_by=NOW + 9)
@@ -80,7 +80,7 @@
 
 def test_long_output_that_just_fits_is_sent_beside_other_work():
     """Requests with long outputs are passed over until they are late."""
-    made = PoolScheduler(FED_PARAMETERS)
+    made = PoolScheduler(REGISTERED_PARAMETERS)
     made.announce(upstream(slots=2), NOW)
     occupy(made)
     long = request("long", output_tokens=2000)
@@ -161,7 +161,7 @@
         now = min(max(made.next_wake(now), now + 0.001), NOW + 2.85)
         made.progress("first", int((now - NOW) * 100) + 1, now)
         if now > NOW + 2.3:
-            speed.learn_first(0, expected=0.1, seen=0.09)
+            speed.learn_prefill(0, expected=0.1, measured=0.09)
         decisions += made.tick(now)
     assert ids(decisions, Refused) == ["waits"]
 
@@ -208,7 +208,7 @@
     of streams twice a second only, took that for the end of the prefill, and believed
     after some requests that a prompt of 37,000 takes nine seconds.
     """
-    made = PoolScheduler(FED_PARAMETERS)
+    made = PoolScheduler(REGISTERED_PARAMETERS)
     made.announce(upstream(slots=8), NOW)
     for number in range(40):
         now = NOW + number
--- a/tests/components/dispatch/test_owned_pool.py
+++ b/tests/components/dispatch/test_owned_pool.py
@@ -57,7 +57,7 @@
     owned.started("r1", T0)
     owned.register(build.register("r2"), "i1", T0 + 9.0)
     owned.announce(build.announce("e1", 1, sequence=2), T0 + 9.0)
-    decisions = owned.keep_only("bole-1", frozenset({"r2"}), T0 + 9.0)
+    decisions = owned.retain_only("bole-1", frozenset({"r2"}), T0 + 9.0)
     assert granted(decisions) == ["r2"]
     assert set(owned.tracked_by_id) == {"r2"}
 
@@ -66,7 +66,7 @@
     owned = pool()
     owned.register(build.register("other", host="yeka-1"), "i2", T0)
     owned.register(build.register("new"), "i1", T0 + 9.0)
-    owned.keep_only("bole-1", frozenset(), T0 + 9.5)
+    owned.retain_only("bole-1", frozenset(), T0 + 9.5)
     assert set(owned.tracked_by_id) == {"other", "new"}
 
 
@@ -79,7 +79,7 @@
     """
     owned = pool()
     owned.announce(build.announce("e1", 1, zone="bole"), T0)
-    owned.adopt(build.running("r1", "e1"), "i1", T0)
+    owned.adopt_running(build.running("r1", "e1"), "i1", T0)
     selector = Selector({"zone": ("bole",)})
     decisions = owned.configure(build.config(2, selector), T0 + 1.0)
     assert granted(decisions) == []
--- a/tests/components/dispatch/test_properties.py
+++ b/tests/components/dispatch/test_properties.py
@@ -3,7 +3,7 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
-from bitterntiller.components.dispatch import FED_PARAMETERS
+from bitterntiller.components.dispatch import REGISTERED_PARAMETERS
 
 from .checker import LIMITED, SILENCE, Checker
 
@@ -118,7 +118,7 @@
     st.lists(ROUTED_EVENT, min_size=10, max_size=40),
 )
 def test_promises_hold_for_requests_with_objectives(slots, events):
-    checker = Checker(slots, FED_PARAMETERS._replace(silence_seconds=SILENCE))
+    checker = Checker(slots, REGISTERED_PARAMETERS._replace(silence_seconds=SILENCE))
     for event in events:
         play(checker, event)
     checker.advance(35.0)
--- a/tests/components/dispatch/test_queue.py
+++ b/tests/components/dispatch/test_queue.py
@@ -3,10 +3,10 @@
 from collections import Counter
 
 from bitterntiller.components.dispatch.jobs import Job
-from bitterntiller.components.dispatch.limits import WorkspaceLimiter
 from bitterntiller.components.dispatch.models import PolicyParameters, WorkspaceLimits
 from bitterntiller.components.dispatch.ordering import new_ordering
 from bitterntiller.components.dispatch.queue import PoolQueue
+from bitterntiller.components.dispatch.workspace_limiter import WorkspaceLimiter
 
 from .builders import request
 
--- a/tests/components/dispatch/test_rollouts.py
+++ b/tests/components/dispatch/test_rollouts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bitterntiller.components.dispatch import make_fed_scheduler
+from bitterntiller.components.dispatch import make_registered_scheduler
 from bitterntiller.components.dispatch.models import Granted
 from bitterntiller.components.dispatch.owned_pool import OwnedPool
 from bitterntiller.components.rollouts.const import CANARIES
@@ -19,7 +19,7 @@
 
 
 def pool(rules: VersionRules = JUDGED, old: int = 2, new: int = 6) -> OwnedPool:
-    made = OwnedPool(build.POOL, 1, make_fed_scheduler("engine"), T0)
+    made = OwnedPool(build.POOL, 1, make_registered_scheduler("engine"), T0)
     made.configure(build.config(), T0)
     for number in range(old):
         made.announce(build.announce(f"old{number}", 4, version="v1"), T0)
@@ -59,7 +59,7 @@
 def test_judged_version_gets_what_is_allowed_and_no_more():
     """A version that may be bad gets more than its part."""
     owned = pool()
-    owned.allow(7, 5, T0 + 1, T0)
+    owned.renew_allowance(7, 5, T0 + 1, T0)
     granted = upstreams_of(register(owned, 40))
     assert sum(name.startswith("new") for name in granted) == 5
     assert owned.rollout.trial.exposed == 5
@@ -76,7 +76,7 @@
 
 def test_allowance_of_another_rollout_is_not_used():
     owned = pool()
-    owned.allow(6, 5, T0 + 1, T0)
+    owned.renew_allowance(6, 5, T0 + 1, T0)
     granted = upstreams_of(register(owned, 20))
     assert not any(name.startswith("new") for name in granted)
 
@@ -84,7 +84,7 @@
 def test_few_upstreams_are_judged_so_that_they_are_busy():
     """A fault under load never shows, as no upstream of the new version has any."""
     owned = pool()
-    owned.allow(7, 4 * CANARIES, T0 + 1, T0)
+    owned.renew_allowance(7, 4 * CANARIES, T0 + 1, T0)
     granted = upstreams_of(register(owned, 40))
     assert len({name for name in granted if name.startswith("new")}) == CANARIES
 
@@ -93,7 +93,7 @@
     """The new version stands idle beside a full old one."""
     owned = pool(old=1)
     register(owned, 20)
-    granted = upstreams_of(owned.allow(7, 6, T0 + 1, T0))
+    granted = upstreams_of(owned.renew_allowance(7, 6, T0 + 1, T0))
     assert len(granted) == 6
     assert all(name.startswith("new") for name in granted)
 
@@ -101,7 +101,7 @@
 def test_request_that_is_retried_uses_the_allowance_again():
     """Retries bring a bad version more requests than its part."""
     owned = pool(old=1, new=3)
-    owned.allow(7, 2, T0 + 1, T0)
+    owned.renew_allowance(7, 2, T0 + 1, T0)
     (grant,) = [item for item in register(owned, 1) if isinstance(item, Granted)]
     returned = messages.Returned(
         request_id="r0",
@@ -119,7 +119,7 @@
     """A version whose failures are hidden by retries is found good."""
     owned = pool()
     owned.rollout.trial.began = T0
-    owned.allow(7, 1, T0 + 1, T0)
+    owned.renew_allowance(7, 1, T0 + 1, T0)
     register(owned, 1)
     owned.returned(
         messages.Returned(
@@ -139,7 +139,7 @@
 def test_verdict_is_acted_on_before_the_next_heartbeat(complete, used):
     """Requests are sent to the old upstreams, which have stopped at the completion."""
     owned = pool()
-    owned.allow(7, 5, T0 + 1, T0)
+    owned.renew_allowance(7, 5, T0 + 1, T0)
     owned.end_trial(7, complete, T0)
     assert {name[:3] for name in upstreams_of(register(owned, 20))} == {used}
 
--- a/tests/components/dispatch/test_unchanged_upstreams.py
+++ b/tests/components/dispatch/test_unchanged_upstreams.py
@@ -6,7 +6,10 @@
 import curio
 import pytest
 
-from bitterntiller.components.dispatch import FED_PARAMETERS, make_fed_scheduler
+from bitterntiller.components.dispatch import (
+    REGISTERED_PARAMETERS,
+    make_registered_scheduler,
+)
 from bitterntiller.components.dispatch.coordinator import DispatchCoordinator
 from bitterntiller.components.dispatch.models import Granted
 from bitterntiller.components.dispatch.scheduler import PoolScheduler
@@ -54,7 +57,7 @@
     grants before the loss told an announcement of over a minute, all that ran there had
     ended well, and none was lost while a request ran there.
     """
-    scheduler = PoolScheduler(FED_PARAMETERS._replace(kind=kind))
+    scheduler = PoolScheduler(REGISTERED_PARAMETERS._replace(kind=kind))
     scheduler.announce(upstream(), NOW)
     now = let_pass(scheduler, seconds)
     assert granted(scheduler, "after", now) == ["engine-1"]
@@ -62,7 +65,7 @@
 
 def test_busy_and_idle_upstreams_are_kept_alike():
     """Only the upstream that always had something to do is left after a minute."""
-    scheduler = PoolScheduler(FED_PARAMETERS)
+    scheduler = PoolScheduler(REGISTERED_PARAMETERS)
     scheduler.announce(upstream("idle", slots=1), NOW)
     scheduler.announce(upstream("busy", slots=1), NOW)
     long = request("long", output_tokens=10_000, deadline=NOW + HOUR)
@@ -81,7 +84,7 @@
 
 def test_upstream_that_has_left_is_forgotten_in_the_end():
     """What has gone must not fill the owner's memory over a day of releases."""
-    scheduler = PoolScheduler(FED_PARAMETERS)
+    scheduler = PoolScheduler(REGISTERED_PARAMETERS)
     scheduler.announce(upstream(), NOW)
     scheduler.announce(upstream(leaving=True, sequence=2), NOW)
     let_pass(scheduler, 90.0)
@@ -109,7 +112,7 @@
             FakeLease(),
             FakeConfig(),
             FakeDirectory(),
-            make_fed_scheduler,
+            make_registered_scheduler,
             Registered(),
         )
         task = await curio.spawn(owner.async_run)
--- a/tests/components/dispatch/test_upstream_events.py
+++ b/tests/components/dispatch/test_upstream_events.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from bitterntiller.components.dispatch import FED_PARAMETERS
+from bitterntiller.components.dispatch import REGISTERED_PARAMETERS
 from bitterntiller.components.dispatch.models import RefusalBasis, Refused
 from bitterntiller.components.dispatch.scheduler import PoolScheduler
 from bitterntiller.components.dispatch.upstream_events import (
-    MOST_EVENTS,
+    MAX_EVENTS,
     UpstreamChange,
     UpstreamEvent,
     UpstreamEvents,
@@ -23,7 +23,7 @@
 
 
 def test_use_of_an_upstream_is_told_from_first_to_last():
-    scheduler = PoolScheduler(FED_PARAMETERS)
+    scheduler = PoolScheduler(REGISTERED_PARAMETERS)
     scheduler.announce(upstream(), NOW)
     assert changes(scheduler) == [("engine-1", UpstreamChange.USABLE)]
     scheduler.announce(upstream(incarnation=2), NOW + 1)
@@ -36,7 +36,7 @@
 
 def test_sick_upstream_is_told_with_the_time_of_its_probe():
     """Requests wait beside an idle upstream, and nothing tells why it gets none."""
-    scheduler = PoolScheduler(FED_PARAMETERS)
+    scheduler = PoolScheduler(REGISTERED_PARAMETERS)
     scheduler.announce(upstream(), NOW)
     scheduler.take_events()
     for number in range(3):
@@ -45,16 +45,16 @@
         scheduler.started(name, NOW)
         scheduler.finished(completion(name, outcome="unknown"), NOW + 0.1)
     (news,) = scheduler.take_events()
-    assert (news.change, round(news.probe_in, 3)) == (UpstreamChange.SICK, 0.5)
+    assert (news.change, round(news.probe_in, 3)) == (UpstreamChange.UNHEALTHY, 0.5)
     scheduler.tick(NOW + 1)
     scheduler.register(request("probe"), NOW + 1)
     scheduler.started("probe", NOW + 1)
     scheduler.finished(completion("probe"), NOW + 1.1)
-    assert changes(scheduler) == [("engine-1", UpstreamChange.WELL)]
+    assert changes(scheduler) == [("engine-1", UpstreamChange.HEALTHY)]
 
 
 def test_refusal_tells_size_waits_and_how_many_upstreams_there_were():
-    scheduler = PoolScheduler(FED_PARAMETERS)
+    scheduler = PoolScheduler(REGISTERED_PARAMETERS)
     scheduler.register(request(deadline=NOW + 1.0), NOW)
     (refused,) = scheduler.tick(NOW + 1.5)
     assert isinstance(refused, Refused)
@@ -70,7 +70,7 @@
 
 
 def test_refusal_tells_the_wait_that_was_expected_and_that_the_objective_was_missed():
-    scheduler = PoolScheduler(FED_PARAMETERS)
+    scheduler = PoolScheduler(REGISTERED_PARAMETERS)
     scheduler.announce(upstream(slots=1), NOW)
     scheduler.register(request("runs"), NOW)
     scheduler.started("runs", NOW)
@@ -85,8 +85,8 @@
 
 def test_news_that_nobody_takes_is_bounded():
     feed = UpstreamEvents()
-    for number in range(MOST_EVENTS + 5):
-        feed.note(UpstreamEvent(str(number), UpstreamChange.SICK, 0.0, 0.0, 0))
+    for number in range(MAX_EVENTS + 5):
+        feed.record(UpstreamEvent(str(number), UpstreamChange.UNHEALTHY, 0.0, 0.0, 0))
     assert [news.upstream for news in feed.take()][0] == "5"
     assert feed.take() == []
 
@@ -98,7 +98,7 @@
     measured, and the reason that was told is that the request is too late, as if others
     stood before it.
     """
-    scheduler = PoolScheduler(FED_PARAMETERS)
+    scheduler = PoolScheduler(REGISTERED_PARAMETERS)
     now = NOW
     for number in range(200):
         now += 0.05
--- a/tests/components/dispatch/test_upstream_rate_limiter.py
+++ b/tests/components/dispatch/test_upstream_rate_limiter.py
@@ -7,12 +7,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bitterntiller.components.dispatch import FED_PARAMETERS, make_scheduler
+from bitterntiller.components.dispatch import REGISTERED_PARAMETERS, make_scheduler
 from bitterntiller.components.dispatch.models import Decision, Granted, RateLimitUpdate
 from bitterntiller.components.dispatch.owned_pool import OwnedPool
 from bitterntiller.components.dispatch.scheduler import PoolScheduler
 from bitterntiller.components.dispatch.upstream_rate_limiter import (
-    LEAST_RATE,
+    MIN_RATE,
     UpstreamRateLimiter,
 )
 from bitterntiller.protocol import messages
@@ -37,7 +37,7 @@
 def paced(limiter: UpstreamRateLimiter, begin: float, end: float) -> list[float]:
     """Return when requests are sent if one more always waits."""
     now, times = begin, []
-    while (now := now + limiter.wait(now)) < end:
+    while (now := now + limiter.wait_seconds(now)) < end:
         limiter.acquire(now)
         times.append(now)
     return times
@@ -49,7 +49,7 @@
     limiter.update(rate, NOW, NOW)
     times = paced(limiter, NOW, NOW + 20)
     assert most_in_window(times) <= allowed(rate)
-    assert len(times) >= 0.8 * 20 * max(rate, LEAST_RATE) - 2
+    assert len(times) >= 0.8 * 20 * max(rate, MIN_RATE) - 2
 
 
 @given(RATES, st.lists(st.tuples(st.floats(0.1, 6.0), RATES), max_size=6))
@@ -83,9 +83,9 @@
 
 def test_upstream_without_a_limit_is_not_paced():
     limiter = UpstreamRateLimiter()
-    assert limiter.wait(NOW) == 0.0
+    assert limiter.wait_seconds(NOW) == 0.0
     limiter.acquire(NOW)
-    assert limiter.wait(NOW) == 0.0
+    assert limiter.wait_seconds(NOW) == 0.0
 
 
 def test_last_answer_counts_in_the_order_of_their_times():
@@ -99,7 +99,7 @@
 
 
 def pool(*names: str, slots: int = 8) -> PoolScheduler:
-    scheduler = PoolScheduler(FED_PARAMETERS)
+    scheduler = PoolScheduler(REGISTERED_PARAMETERS)
     for name in names:
         scheduler.announce(build.upstream(name, slots=slots), NOW)
     return scheduler
@@ -146,7 +146,7 @@
     scheduler.update_rate_limit(rate_limit(rate), NOW)
     times = play(scheduler, NOW, 16)
     assert most_in_window(times["e1"]) <= allowed(rate)
-    assert len(times["e1"]) >= 0.8 * 16 * max(rate, LEAST_RATE) - 2
+    assert len(times["e1"]) >= 0.8 * 16 * max(rate, MIN_RATE) - 2
     assert len(times["e2"]) > 8 * len(times["e1"]) or rate > 1
 
 
