--- a/tests/components/replication/checker.py
+++ b/tests/components/replication/checker.py
@@ -22,15 +22,15 @@
         self.entry_by_place: dict[tuple[int, int], tuple[Entry, int]] = {}
         self.committed: dict[int, Entry] = {}
         self.term_of_commit: dict[int, int] = {}
-        self.chain_by_index: dict[int, int] = {0: 0}
+        self.state_hash_by_index: dict[int, int] = {0: 0}
 
     def last_committed(self) -> int:
         """Return the highest index known to be committed."""
         return max(self.committed, default=0)
 
-    def chain(self, node: Any) -> None:
-        known = self.chain_by_index.setdefault(node.applied, node.chain)
-        if known != node.chain:
+    def check_state_hash(self, node: Any) -> None:
+        known = self.state_hash_by_index.setdefault(node.applied, node.state_hash)
+        if known != node.state_hash:
             raise ViolationError(f"two states after entry {node.applied}")
 
     def check(self, node: Any) -> None:
--- a/tests/components/replication/cluster.py
+++ b/tests/components/replication/cluster.py
@@ -24,7 +24,7 @@
 from .checker import Checker, ViolationError
 from .profiles import MIXED, Profile
 
-WAITS_FOR_ALL = 1e9
+INFINITE_GRACE = 1e9
 TUNING = Tuning(trailing_entries=2)
 
 
@@ -39,7 +39,7 @@
     frozen: bool = False
     copies: list[PersistentState] = field(default_factory=list)
     applied: int = 0
-    chain: int = 0
+    state_hash: int = 0
     checked: int = 0
 
 
@@ -48,15 +48,15 @@
 
     def __init__(self, seed: int, profile: Profile = MIXED) -> None:
         self.rng = random.Random(seed)
-        self.profile, hosts, first = profile, profile.hosts, profile.first
+        self.profile, hosts, first = profile, profile.hosts, profile.initial_voters
         self.nodes = {h: self._new_node(h) for h in hosts}
         self.network: list[tuple[str, str, object]] = []
         self.cuts: set[tuple[str, str]] = set()
-        self.calm = False
-        self.lateness = self.rng.choice((0.0, 0.2, 0.8))
-        self.fragile = self.copied = ""
+        self.fault_free = False
+        self.reorder_probability = self.rng.choice((0.0, 0.2, 0.8))
+        self.unrepaired_host = self.restored_replica = ""
         self.checker = Checker()
-        self.asked: dict[int, int] = {}
+        self.committed_at_request: dict[int, int] = {}
         self.tokens = 0
         members = tuple(self.member(h, True) for h in hosts[:first])
         for host in hosts[:first]:
@@ -89,8 +89,8 @@
         )
         seed = random.Random(self.rng.random())
         node.replica = Replica(node.disk, tuning, seed, node.clock)
-        node.write, node.applied, node.chain, node.checked = None, 0, 0, 0
-        self.after(node)
+        node.write, node.applied, node.state_hash, node.checked = None, 0, 0, 0
+        self.apply_effects(node)
 
     def any_node(self) -> Node | None:
         up = [n for n in self.nodes.values() if n.replica and not n.frozen]
@@ -128,9 +128,9 @@
                 break
         if step := repair_decisions.next_membership(state, [], node.clock):
             node.replica.change_members(step, node.clock)
-        self.after(node)
+        self.apply_effects(node)
         if self._all_up() and self._full_redundancy():
-            self.fragile = self.copied = ""
+            self.unrepaired_host = self.restored_replica = ""
 
     def _all_up(self) -> bool:
         nodes = self.nodes.values()
@@ -150,9 +150,9 @@
         return False
 
     def all_sound(self) -> bool:
-        return not self.fragile and self._all_up() and self._full_redundancy()
+        return not self.unrepaired_host and self._all_up() and self._full_redundancy()
 
-    def after(self, node: Node) -> None:
+    def apply_effects(self, node: Node) -> None:
         effects = node.replica.take_effects(node.clock)
         if effects.retired:
             self.new_identity(node)
@@ -164,16 +164,21 @@
         if effects.restore:
             if effects.restore.index < node.applied:
                 raise ViolationError("the state went back to an older snapshot")
-            node.applied, node.chain = effects.restore.index, int(effects.restore.data)
-            self.checker.chain(node)
+            node.applied, node.state_hash = (
+                effects.restore.index,
+                int(effects.restore.data),
+            )
+            self.checker.check_state_hash(node)
         for entry in effects.committed:
             if entry.index != node.applied + 1:
                 raise ViolationError(f"{entry.index} applied after {node.applied}")
             node.applied = entry.index
-            node.chain = zlib.crc32(repr(entry).encode(), node.chain)
-            self.checker.chain(node)
+            node.state_hash = zlib.crc32(repr(entry).encode(), node.state_hash)
+            self.checker.check_state_hash(node)
         for outcome in effects.reads:
-            asked = self.asked.pop(outcome.token)
-            if outcome.index is not None and outcome.index < asked:
-                raise ViolationError(f"read {outcome.index} after {asked} committed")
+            committed_at_request = self.committed_at_request.pop(outcome.token)
+            if outcome.index is not None and outcome.index < committed_at_request:
+                raise ViolationError(
+                    f"read {outcome.index} after {committed_at_request} committed"
+                )
         self.checker.check(node)
--- a/tests/components/replication/explorer.py
+++ b/tests/components/replication/explorer.py
@@ -10,11 +10,11 @@
 from bitterntiller.components.replication.members import voters
 
 from .checker import StuckError, ViolationError
-from .cluster import WAITS_FOR_ALL, Cluster
+from .cluster import INFINITE_GRACE, Cluster
 from .profiles import FAULTS, MIXED, WEIGHTS, Profile
 
 
-class World(Cluster):
+class Simulation(Cluster):
     """A cluster to which things happen by chance, step by step."""
 
     def run(self, steps: int) -> None:
@@ -36,20 +36,20 @@
             self._deliver_one()
 
     def _deliver_one(self) -> None:
-        late = not self.calm and self.rng.random() < self.lateness
+        late = not self.fault_free and self.rng.random() < self.reorder_probability
         place = self.rng.randrange(len(self.network) if late else 1)
         source, to, message = self.network[place]
-        if self.calm or self.rng.random() > 0.1:
+        if self.fault_free or self.rng.random() > 0.1:
             del self.network[place]
         else:
             self.network.append(self.network[place])
         node = self.nodes[to.partition("/")[0]]
         lost = (source, node.host) in self.cuts
-        lost = lost or (not self.calm and self.rng.random() < 0.04)
+        lost = lost or (not self.fault_free and self.rng.random() < 0.04)
         if lost or node.replica is None or node.frozen or node.disk.replica != to:
             return
         node.replica.receive(message, node.clock)
-        self.after(node)
+        self.apply_effects(node)
 
     def pass_time(self) -> None:
         seconds = self.rng.choice((0.02, 0.05, 0.1))
@@ -57,7 +57,7 @@
             node.clock += seconds * node.rate
             if node.replica and not node.frozen:
                 node.replica.tick(node.clock)
-                self.after(node)
+                self.apply_effects(node)
         for node in self.leaders():
             self.join_and_repair(node)
 
@@ -66,19 +66,19 @@
             if node.write and not node.frozen and self.rng.random() < 0.6:
                 self.finish_write(node)
                 node.replica.persisted(node.disk_number, node.clock)
-                self.after(node)
+                self.apply_effects(node)
 
     def propose(self) -> None:
         for node in self.leaders():
             node.replica.propose(b"%d" % self.rng.getrandbits(40))
-            self.after(node)
+            self.apply_effects(node)
 
     def read(self) -> None:
         for node in self.leaders():
             self.tokens += 1
-            self.asked[self.tokens] = self.checker.last_committed()
+            self.committed_at_request[self.tokens] = self.checker.last_committed()
             node.replica.request_read_index(self.tokens)
-            self.after(node)
+            self.apply_effects(node)
 
     def crash(self) -> None:
         node = self.any_node()
@@ -91,7 +91,11 @@
     def restart(self) -> None:
         for node in self.nodes.values():
             if node.replica is None:
-                grace = WAITS_FOR_ALL if node.disk.replica == self.copied else None
+                grace = (
+                    INFINITE_GRACE
+                    if node.disk.replica == self.restored_replica
+                    else None
+                )
                 self.start(node, grace)
 
     def depose(self) -> None:
@@ -110,7 +114,7 @@
     def hand_over(self) -> None:
         for node in self.leaders():
             node.replica.transfer_leadership(node.clock)
-            self.after(node)
+            self.apply_effects(node)
 
     def cut(self) -> None:
         a, b = self.rng.sample(sorted(self.nodes), 2)
@@ -133,23 +137,23 @@
     def snapshot(self) -> None:
         node = self.any_node()
         if node and node.applied:
-            node.replica.snapshot_taken(node.applied, b"%d" % node.chain)
-            self.after(node)
+            node.replica.snapshot_taken(node.applied, b"%d" % node.state_hash)
+            self.apply_effects(node)
 
     def lose_disk(self) -> None:
         node = self.any_node()
         if node is None or not self.all_sound():
             return
-        self.fragile = node.host
+        self.unrepaired_host = node.host
         self.new_identity(node)
 
-    def old_copy(self) -> None:
+    def restore_old_copy(self) -> None:
         node = self.any_node()
         if node is None or not node.copies or not self.all_sound():
             return
-        self.fragile, self.copied = node.host, node.disk.replica
+        self.unrepaired_host, self.restored_replica = node.host, node.disk.replica
         node.disk = self.rng.choice(node.copies[-12:])
-        self.start(node, WAITS_FOR_ALL)
+        self.start(node, INFINITE_GRACE)
 
     def resize(self) -> None:
         for node in self.leaders():
@@ -160,9 +164,9 @@
                 if not m.voter
                 and repair_decisions.is_healthy(state, m.replica, node.clock)
             ]
-            if spare and not self.fragile:
+            if spare and not self.unrepaired_host:
                 changed = spare[0]._replace(voter=True)
-            elif len(voters(state.members)) > 3 and not self.fragile:
+            elif len(voters(state.members)) > 3 and not self.unrepaired_host:
                 changed = self.rng.choice(state.members.all)._replace(voter=False)
             else:
                 continue
@@ -173,29 +177,31 @@
                 ],
                 node.clock,
             )
-            self.after(node)
+            self.apply_effects(node)
 
     def settle(self) -> None:
         """End all faults; raise unless a new entry is committed soon."""
-        self.calm = True
+        self.fault_free = True
         self.cuts.clear()
         self.thaw()
         self.restart()
         before = self.checker.last_committed()
-        calm = {"deliver": 620, "pass_time": 100, "sync": 200, "propose": 10}
-        for action in self.rng.choices(list(calm), list(calm.values()), k=30000):
+        weights = {"deliver": 620, "pass_time": 100, "sync": 200, "propose": 10}
+        for action in self.rng.choices(
+            list(fault_free), list(fault_free.values()), k=30000
+        ):
             getattr(self, action)()
-            if self.checker.last_committed() > before + 3 and not self.fragile:
+            if self.checker.last_committed() > before + 3 and not self.unrepaired_host:
                 return
         raise StuckError("no entry is committed although all are connected")
 
 
-def explore(seed: int, profile: Profile = MIXED) -> World:
+def explore(seed: int, profile: Profile = MIXED) -> Simulation:
     """Run one schedule; raise ViolationError for a broken promise."""
-    world = World(seed, profile)
+    simulation = Simulation(seed, profile)
     try:
-        world.run(profile.steps)
-        world.settle()
+        simulation.run(profile.steps)
+        simulation.settle()
     except SafetyError as error:
         raise ViolationError(str(error)) from error
-    return world
+    return simulation
--- a/tests/components/replication/mutations.py
+++ b/tests/components/replication/mutations.py
@@ -39,7 +39,7 @@
     patch.setattr(State, "send_after_sync", send_at_once)
 
 
-def vote_told_before_sync(patch):
+def vote_reply_before_sync(patch):
     _unsynced(patch, VoteReply)
 
 
@@ -163,11 +163,11 @@
         node.copies = []
         self.start(node)
 
-    patch.setattr(explorer.World, "new_identity", same_identity)
+    patch.setattr(explorer.Simulation, "new_identity", same_identity)
     old_identity_votes(patch)
 
 
-class Caught(NamedTuple):
+class MutationCase(NamedTuple):
     """Which kind of schedule finds a broken guard, from which seed on."""
 
     mutation: Callable
@@ -175,17 +175,17 @@
     seed: int
 
 
-FOUND_BY_CHANCE = (
-    Caught(no_term_check, profiles.DEPOSED, 19),
-    Caught(two_votes_in_a_term, profiles.MIXED, 1),
-    Caught(votes_for_any_log, profiles.MIXED, 0),
-    Caught(half_is_a_quorum, profiles.MIXED, 0),
-    Caught(no_check_of_previous_entry, profiles.MIXED, 0),
-    Caught(late_append_cuts_the_log, profiles.MIXED, 1),
-    Caught(commits_beyond_what_was_compared, profiles.MIXED, 16),
-    Caught(installs_stale_snapshots, profiles.SNAPSHOTS, 110),
-    Caught(changes_members_while_one_is_open, profiles.CHANGES, 24),
-    Caught(reads_without_a_round, profiles.MIXED, 0),
-    Caught(old_identity_votes, profiles.COPIES, 6),
-    Caught(old_identity_is_not_recognized_nor_caught_up, profiles.COPIES, 10),
+RANDOM_SEARCH_CASES = (
+    MutationCase(no_term_check, profiles.DEPOSED, 19),
+    MutationCase(two_votes_in_a_term, profiles.MIXED, 1),
+    MutationCase(votes_for_any_log, profiles.MIXED, 0),
+    MutationCase(half_is_a_quorum, profiles.MIXED, 0),
+    MutationCase(no_check_of_previous_entry, profiles.MIXED, 0),
+    MutationCase(late_append_cuts_the_log, profiles.MIXED, 1),
+    MutationCase(commits_beyond_what_was_compared, profiles.MIXED, 16),
+    MutationCase(installs_stale_snapshots, profiles.SNAPSHOTS, 110),
+    MutationCase(changes_members_while_one_is_open, profiles.CHANGES, 24),
+    MutationCase(reads_without_a_round, profiles.MIXED, 0),
+    MutationCase(old_identity_votes, profiles.COPIES, 6),
+    MutationCase(old_identity_is_not_recognized_nor_caught_up, profiles.COPIES, 10),
 )
--- a/tests/components/replication/profiles.py
+++ b/tests/components/replication/profiles.py
@@ -19,7 +19,7 @@
     "freeze": 4,
     "snapshot": 6,
     "lose_disk": 1,
-    "old_copy": 3,
+    "restore_old_copy": 3,
     "resize": 4,
 }
 FAULTS = tuple(WEIGHTS)[8:]
@@ -36,7 +36,7 @@
     weights: dict[str, int] = {}
     faults: tuple[str, ...] = FAULTS
     hosts: str = "abcd"
-    first: int = 3
+    initial_voters: int = 3
     grace: float = 0.5
     first_election_spacing: float = DEFAULT_FIRST_ELECTION_SPACING
     batch: int = 3
@@ -57,8 +57,8 @@
     batch=1,
 )
 COPIES = Profile(
-    {"old_copy": 40, "depose": 20, "cut": 20, "heal": 20, "propose": 90},
-    ("old_copy", "depose", "cut"),
+    {"restore_old_copy": 40, "depose": 20, "cut": 20, "heal": 20, "propose": 90},
+    ("restore_old_copy", "depose", "cut"),
     "abc",
     batch=1,
 )
@@ -71,7 +71,7 @@
 CHANGES = Profile(
     {"resize": 90, "depose": 30, "heal": 20, "thaw": 20, "restart": 40, "cut": 10},
     ("resize", "depose", "cut"),
-    first=4,
+    initial_voters=4,
     batch=1,
 )
 SNAPSHOTS = Profile(
@@ -79,9 +79,9 @@
     ("snapshot", "depose", "cut", "freeze", "crash"),
     "abc",
 )
-HANDED = Profile(
+TRANSFERS = Profile(
     {"hand_over": 60, "crash": 20, "cut": 20, "heal": 20, "restart": 40, "propose": 90},
     ("crash", "cut", "freeze", "resize"),
-    first=4,
+    initial_voters=4,
 )
-PROFILES = (MIXED, CRASHES, DEPOSED, COPIES, LOSSES, CHANGES, SNAPSHOTS, HANDED)
+PROFILES = (MIXED, CRASHES, DEPOSED, COPIES, LOSSES, CHANGES, SNAPSHOTS, TRANSFERS)
--- a/tests/components/replication/test_automatic.py
+++ b/tests/components/replication/test_automatic.py
@@ -8,18 +8,18 @@
 from bitterntiller.components.replication.progress import Progress
 from bitterntiller.protocol import messages
 
-from .script import elect, settle, world_of
+from .script import elect, make_simulation, settle
 
 AUTOMATIC = Tuning(trailing_entries=2, target_voters=3, silent_voter_timeout=2.0)
 
 
-def led_world(hosts: str, voters_wanted: int):
-    world = world_of(hosts)
-    assert elect(world, hosts[0], hosts)
-    settle(world, hosts)
-    state = world.nodes[hosts[0]].replica.state
+def led_simulation(hosts: str, voters_wanted: int):
+    simulation = make_simulation(hosts)
+    assert elect(simulation, hosts[0], hosts)
+    settle(simulation, hosts)
+    state = simulation.nodes[hosts[0]].replica.state
     state.tuning = AUTOMATIC._replace(target_voters=voters_wanted)
-    return world, state
+    return simulation, state
 
 
 def add_learner(state, now: float, last_contact: float) -> Member:
@@ -32,8 +32,8 @@
 
 def test_host_that_joins_becomes_a_voter_up_to_the_number():
     """Five hosts of control bear one loss only, since three of them vote."""
-    world, state = led_world("abc", 5)
-    now = world.nodes["a"].clock
+    simulation, state = led_simulation("abc", 5)
+    now = simulation.nodes["a"].clock
     add_learner(state, now, now)
     step = repair_decisions.next_membership(state, [], now)
     assert [m.replica for m in step if m.voter][-1] == "z/1"
@@ -44,8 +44,8 @@
 
     The next two losses then leave no majority.
     """
-    world, state = led_world("abc", 3)
-    now = world.nodes["a"].clock
+    simulation, state = led_simulation("abc", 3)
+    now = simulation.nodes["a"].clock
     add_learner(state, now + 3, now + 3)
     for replica, progress in state.progress_by_replica.items():
         if replica.startswith("b/"):
@@ -58,8 +58,8 @@
 
 
 def test_voter_that_answers_keeps_its_place():
-    world, state = led_world("abc", 3)
-    now = world.nodes["a"].clock
+    simulation, state = led_simulation("abc", 3)
+    now = simulation.nodes["a"].clock
     add_learner(state, now, now)
     for progress in state.progress_by_replica.values():
         progress.last_contact = now
@@ -68,8 +68,8 @@
 
 
 def test_without_a_number_no_voter_is_replaced():
-    world, state = led_world("abc", 0)
-    now = world.nodes["a"].clock
+    simulation, state = led_simulation("abc", 0)
+    now = simulation.nodes["a"].clock
     add_learner(state, now + 60, now + 60)
     assert repair_decisions.next_membership(state, [], now + 60) is None
 
--- a/tests/components/replication/test_directed.py
+++ b/tests/components/replication/test_directed.py
@@ -4,8 +4,8 @@
 
 from . import mutations
 from .checker import ViolationError
-from .explorer import World
-from .script import drain, elect, settle, tick, world_of
+from .explorer import Simulation
+from .script import drain, elect, make_simulation, settle, tick
 
 
 def vote_forgotten() -> None:
@@ -14,22 +14,22 @@
     c votes for b, its reply leaves, and c loses power before the vote is on its
     disk. It starts again, hears only a, and votes for a in the same term.
     """
-    world = world_of("abc")
-    elect(world, "b", "bc", syncing="b")
-    restart(world, "c")
-    settle(world, "ac")
-    assert elect(world, "a", "ac")
+    simulation = make_simulation("abc")
+    elect(simulation, "b", "bc", syncing="b")
+    restart(simulation, "c")
+    settle(simulation, "ac")
+    assert elect(simulation, "a", "ac")
 
 
-def told_to_a_and_b(syncing: str) -> World:
+def replicated_to_a_and_b(syncing: str) -> Simulation:
     """Return a world led by a, whose change reaches b; one of the two syncs it."""
-    world = world_of("abc")
-    assert elect(world, "a", "abc")
-    settle(world, "abc")
-    world.nodes["a"].replica.propose(b"x")
-    world.after(world.nodes["a"])
-    drain(world, "ab", syncing=syncing)
-    return world
+    simulation = make_simulation("abc")
+    assert elect(simulation, "a", "abc")
+    settle(simulation, "abc")
+    simulation.nodes["a"].replica.propose(b"x")
+    simulation.apply_effects(simulation.nodes["a"])
+    drain(simulation, "ab", syncing=syncing)
+    return simulation
 
 
 def acknowledgement_forgotten() -> None:
@@ -38,10 +38,10 @@
     b acknowledges it before it is on its disk, so a accepts it; b loses power,
     starts again and meets only c, which had been cut off.
     """
-    world = told_to_a_and_b(syncing="a")
-    restart(world, "b")
-    settle(world, "bc")
-    assert elect(world, "c", "bc")
+    simulation = replicated_to_a_and_b(syncing="a")
+    restart(simulation, "b")
+    settle(simulation, "bc")
+    assert elect(simulation, "c", "bc")
 
 
 def own_entry_forgotten() -> None:
@@ -50,16 +50,16 @@
     a counts its own unsynced copy beside b's and accepts; it loses power, starts
     again and meets only c.
     """
-    world = told_to_a_and_b(syncing="b")
-    restart(world, "a")
-    settle(world, "ac")
-    assert elect(world, "c", "ac")
+    simulation = replicated_to_a_and_b(syncing="b")
+    restart(simulation, "a")
+    settle(simulation, "ac")
+    assert elect(simulation, "c", "ac")
 
 
-def restart(world: World, host: str) -> None:
-    node = world.nodes[host]
+def restart(simulation: Simulation, host: str) -> None:
+    node = simulation.nodes[host]
     node.replica, node.write = None, None
-    world.start(node)
+    simulation.start(node)
 
 
 def old_entry_counted() -> None:
@@ -68,22 +68,22 @@
     a's entry reaches a quorum only in a later term of a; b, which holds an entry
     of a term in between, is then elected and overwrites it.
     """
-    world = world_of("abc")
-    a = world.nodes["a"]
-    assert elect(world, "a", "abc")
-    settle(world, "abc")
+    simulation = make_simulation("abc")
+    a = simulation.nodes["a"]
+    assert elect(simulation, "a", "abc")
+    settle(simulation, "abc")
     a.replica.propose(b"x")
-    world.after(a)
-    drain(world, "a")
+    simulation.apply_effects(a)
+    drain(simulation, "a")
     index = a.replica.state.log.last_index
-    assert elect(world, "b", "bc")
-    drain(world, "b")
-    assert elect(world, "a", "ac")
-    tick(world, "a")
+    assert elect(simulation, "b", "bc")
+    drain(simulation, "b")
+    assert elect(simulation, "a", "ac")
+    tick(simulation, "a")
     progress = a.replica.state.progress_by_replica["c/1"]
-    drain(world, "ac", lambda: progress.match >= index)
+    drain(simulation, "ac", lambda: progress.match >= index)
     assert progress.match == index
-    assert elect(world, "b", "bc")
+    assert elect(simulation, "b", "bc")
 
 
 def two_histories_of_members() -> None:
@@ -92,17 +92,17 @@
     a removes d but reaches nobody; b is elected and at once removes a. The two
     memberships share no quorum: {a, c} and {b, d} both decide.
     """
-    world = world_of("abcd")
-    assert elect(world, "a", "abcd")
-    settle(world, "abcd")
-    remove(world, "a", "d")
-    drain(world, "a")
-    assert elect(world, "b", "bcd")
-    remove(world, "b", "a")
+    simulation = make_simulation("abcd")
+    assert elect(simulation, "a", "abcd")
+    settle(simulation, "abcd")
+    remove(simulation, "a", "d")
+    drain(simulation, "a")
+    assert elect(simulation, "b", "bcd")
+    remove(simulation, "b", "a")
     for _ in range(3):
-        tick(world, "b")
-        drain(world, "bd")
-    assert elect(world, "a", "ac")
+        tick(simulation, "b")
+        drain(simulation, "bd")
+    assert elect(simulation, "a", "ac")
 
 
 def disk_lost_after_commit() -> None:
@@ -111,26 +111,26 @@
     a and b have committed it, c was cut off. b comes back with an empty disk and
     meets c only; if b voted under its old name, c would lead without it.
     """
-    world = world_of("abc")
-    assert elect(world, "a", "abc")
-    settle(world, "abc")
-    world.nodes["a"].replica.propose(b"x")
-    world.after(world.nodes["a"])
-    settle(world, "ab")
-    world.new_identity(world.nodes["b"])
-    settle(world, "bc")
-    assert not elect(world, "c", "bc")
-
-
-def remove(world: World, leader: str, host: str) -> None:
-    node = world.nodes[leader]
+    simulation = make_simulation("abc")
+    assert elect(simulation, "a", "abc")
+    settle(simulation, "abc")
+    simulation.nodes["a"].replica.propose(b"x")
+    simulation.apply_effects(simulation.nodes["a"])
+    settle(simulation, "ab")
+    simulation.new_identity(simulation.nodes["b"])
+    settle(simulation, "bc")
+    assert not elect(simulation, "c", "bc")
+
+
+def remove(simulation: Simulation, leader: str, host: str) -> None:
+    node = simulation.nodes[leader]
     members = node.replica.state.members.all
     node.replica.change_members([m for m in members if m.host != host], node.clock)
-    world.after(node)
+    simulation.apply_effects(node)
 
 
 CASES = (
-    (vote_forgotten, mutations.vote_told_before_sync, "two leaders"),
+    (vote_forgotten, mutations.vote_reply_before_sync, "two leaders"),
     (
         acknowledgement_forgotten,
         mutations.no_sync_before_acknowledgement,
@@ -147,10 +147,10 @@
 )
 
 
-@pytest.mark.parametrize(("story", "mutation", "violation"), CASES)
-def test_the_guard_holds_and_is_needed(story, mutation, violation, monkeypatch):
+@pytest.mark.parametrize(("schedule", "mutation", "violation"), CASES)
+def test_the_guard_holds_and_is_needed(schedule, mutation, violation, monkeypatch):
     """Each story passes with its guard; without it a promise is seen broken."""
-    story()
+    schedule()
     mutation(monkeypatch)
     with pytest.raises(ViolationError, match=violation):
-        story()
+        schedule()
--- a/tests/components/replication/test_explorer.py
+++ b/tests/components/replication/test_explorer.py
@@ -24,14 +24,14 @@
 
 
 @pytest.mark.parametrize(
-    "caught", mutations.FOUND_BY_CHANCE, ids=lambda caught: caught.mutation.__name__
+    "case", mutations.RANDOM_SEARCH_CASES, ids=lambda case: case.mutation.__name__
 )
-def test_a_broken_guard_is_found(caught, monkeypatch):
+def test_a_broken_guard_is_found(case, monkeypatch):
     """Each guard is broken once; the checks must see a promise broken by it."""
-    caught.mutation(monkeypatch)
-    for seed in range(caught.seed, caught.seed + SEARCHED):
+    case.mutation(monkeypatch)
+    for seed in range(case.seed, case.seed + SEARCHED):
         try:
-            explorer.explore(seed, caught.profile)
+            explorer.explore(seed, case.profile)
         except checker.StuckError:
             continue
         except checker.ViolationError:
--- a/tests/components/replication/test_restart.py
+++ b/tests/components/replication/test_restart.py
@@ -15,43 +15,43 @@
 )
 from bitterntiller.components.replication.progress import Progress
 
-from .explorer import World
+from .explorer import Simulation
 from .profiles import Profile
-from .script import drain, elect, leads, settle, world_of
+from .script import drain, elect, leads, make_simulation, settle
 
 STEP = 0.03
 ELECTION_MIN = 0.6
 
 
-def restarted(seed: int) -> World:
+def restart_all(seed: int) -> Simulation:
     """Return five voters with a log that were all started anew."""
     profile = Profile(
-        hosts="abcde", first=5, grace=DEFAULT_STARTUP_CHECK_GRACE, batch=1
+        hosts="abcde", initial_voters=5, grace=DEFAULT_STARTUP_CHECK_GRACE, batch=1
     )
-    world = World(seed, profile)
-    world.calm, world.lateness = True, 0.0
-    for node in world.nodes.values():
+    simulation = Simulation(seed, profile)
+    simulation.fault_free, simulation.reorder_probability = True, 0.0
+    for node in simulation.nodes.values():
         node.rate = 1.0
-    assert seconds_to_lead(world, "abcde") < ELECTION_MIN
-    world.network.clear()
-    for node in world.nodes.values():
-        world.start(node)
-    return world
+    assert seconds_to_lead(simulation, "abcde") < ELECTION_MIN
+    simulation.network.clear()
+    for node in simulation.nodes.values():
+        simulation.start(node)
+    return simulation
 
 
-def seconds_to_lead(world: World, hosts: str) -> float:
+def seconds_to_lead(simulation: Simulation, hosts: str) -> float:
     """Let time pass in steps until one leads; return how long that took."""
     passed = 0.0
     while passed < 4.0:
-        drain(world, hosts)
-        if any(leads(world.nodes[host]) for host in hosts):
+        drain(simulation, hosts)
+        if any(leads(simulation.nodes[host]) for host in hosts):
             return passed
         passed += STEP
         for host in hosts:
-            node = world.nodes[host]
+            node = simulation.nodes[host]
             node.clock += STEP
             node.replica.tick(node.clock)
-            world.after(node)
+            simulation.apply_effects(node)
     return passed
 
 
@@ -62,7 +62,7 @@
     All hosts are up again. Their replicas have asked each other and know that none of
     them leads; each still waits for a leader for a whole election timeout.
     """
-    assert seconds_to_lead(restarted(seed), "abcde") < ELECTION_MIN / 2
+    assert seconds_to_lead(restart_all(seed), "abcde") < ELECTION_MIN / 2
 
 
 def reply(voter: str, boot: int = 7) -> ReturnCheckReply:
@@ -109,12 +109,14 @@
 
 def test_first_campaigns_are_apart():
     """Two voters ask for votes at the same moment, again and again, and none wins."""
-    world = restarted(1)
-    drain(world, "abcde")
-    assert all(node.replica.state.startup_check.done for node in world.nodes.values())
+    simulation = restart_all(1)
+    drain(simulation, "abcde")
+    assert all(
+        node.replica.state.startup_check.done for node in simulation.nodes.values()
+    )
     waits = sorted(
         node.replica.state.election_deadline - node.clock
-        for node in world.nodes.values()
+        for node in simulation.nodes.values()
     )
     gaps = [later - sooner for sooner, later in zip(waits, waits[1:], strict=False)]
     assert min(gaps) >= DEFAULT_FIRST_ELECTION_SPACING / 2
@@ -127,10 +129,10 @@
     the old one for silent. The new one was made a voter beside it, and no later step
     removes the old one.
     """
-    world = world_of("abc")
-    assert elect(world, "a", "abc")
-    settle(world, "abc")
-    node = world.nodes["a"]
+    simulation = make_simulation("abc")
+    assert elect(simulation, "a", "abc")
+    settle(simulation, "abc")
+    node = simulation.nodes["a"]
     state, now = node.replica.state, node.clock
     learner = Member("b/2", "b", "b", False)
     state.members = state.members._replace(all=(*state.members.all, learner))
