--- a/bitterntiller/components/dispatch/canary_picker.py
+++ b/bitterntiller/components/dispatch/canary_picker.py
@@ -1,4 +1,4 @@
-"""Which requests go to a version that is judged, and to which of its upstreams."""
+"""Picks the requests that go to the candidate version of a rollout."""
 
 from bitterntiller.components.dispatch.isolation import Isolation
 from bitterntiller.components.dispatch.jobs import Job
@@ -9,10 +9,10 @@
 
 
 class CanaryPicker:
-    """Takes requests out of the usual choice, as far as an allowance goes.
+    """Sends requests to upstreams of the candidate version within an allowance.
 
-    They are taken as they come, whatever the usual choice would weigh: the upstreams of
-    both versions are compared by requests of the same kind.
+    Requests are taken in their order, without the cost estimates of UpstreamPicker, so
+    that both versions are compared on the same mix of requests.
     """
 
     def __init__(self, pool: Pool, isolation: Isolation) -> None:
@@ -21,7 +21,7 @@
         self.allowance: CanaryAllowance | None = None
 
     def any_free(self, now: float) -> bool:
-        """Tell whether a request may go to the version that is judged."""
+        """Return whether the candidate version may and can take a request."""
         if self.allowance is None or not self.allowance.is_open(now):
             return False
         return any(
@@ -29,10 +29,11 @@
         )
 
     def pick(self, job: Job, now: float) -> Upstream | None:
-        """Return an upstream of the judged version for a request that it is to get.
+        """Return an upstream of the candidate version for a request, or None.
 
-        Few upstreams get all of it, others only what has no room there. A request that
-        is suspected of crashing upstreams would show as a fault of the version.
+        The first CANARIES upstreams get all such requests, and the others only those
+        for which the first ones have no room. Requests that are suspected of crashing
+        upstreams are left out: a crash would count against the version.
         """
         allowance = self.allowance
         if allowance is None or not allowance.is_open(now):
--- a/bitterntiller/components/dispatch/const.py
+++ b/bitterntiller/components/dispatch/const.py
@@ -1,4 +1,4 @@
-"""Constants of the dispatch part: defaults, units and names of labels."""
+"""Constants of the dispatch component."""
 
 KIND_ENGINE = "engine"
 KIND_PLAIN = "plain"
@@ -26,8 +26,8 @@
 DEFAULT_HEADROOM = 0.1
 DEFAULT_OPTIMISM = 0.4
 DEFAULT_LOWER_SHARE = 0.05
-"""Part of the slots that each lower tier has before the tiers above it, so that a long
-overload by higher tiers leaves none without any service."""
+"""Fraction of the slots that each lower tier gets before the tiers above it, so that a
+long overload by higher tiers starves no tier."""
 
 DEFAULT_MAX_WAITING = 50_000
 DEFAULT_SAMPLES = 4
@@ -40,8 +40,8 @@
 IDLE_WAKE_SECONDS = 1.0
 PARK_SECONDS = 0.25
 FORGET_UPSTREAM_SECONDS = 60.0
-"""How long what is known of an upstream is kept that is not there: longer than a cut or
-a restart of its process takes, after which its speed would be learned anew."""
+"""How long the state of an unusable upstream is kept: longer than a network cut or a
+restart of its process takes, after which its speed would have to be learned again."""
 
 MAX_RETURNS = 3
 MAX_TRIMMED = 64
@@ -71,8 +71,9 @@
 SHORTEST_PAUSE = 0.005
 LONGEST_PAUSE = 0.1
 IDLE_PAUSE = 0.5
-"""Seconds between two looks at the time at most, with requests at hand and without. A
-request that comes, or a change of what is known, ends the longer one."""
+"""Limits of the pause between two ticks of an owner, in seconds: SHORTEST_PAUSE to
+LONGEST_PAUSE with requests, up to IDLE_PAUSE without. A new request or changed state
+ends the idle pause early."""
 
 DEAD_HOSTS_PERIOD = 0.5
 DEAD_HOST_SILENCE = 30.0
--- a/bitterntiller/components/dispatch/eligibility.py
+++ b/bitterntiller/components/dispatch/eligibility.py
@@ -1,4 +1,4 @@
-"""Which upstreams of a pool a workspace and a tier may use, by labels."""
+"""Upstreams of a pool that a workspace and a tier may use, by label selectors."""
 
 from collections.abc import Mapping
 
@@ -14,13 +14,13 @@
 
 
 class Eligibility:
-    """The names of upstreams that selectors leave, kept until labels change."""
+    """Cache of the upstream names that match the selectors of workspace and tier."""
 
     def __init__(self) -> None:
         self._names_by_key: dict[tuple[str, str], frozenset[str] | None] = {}
 
     def clear(self) -> None:
-        """Forget what was worked out; labels or the configuration changed."""
+        """Clear the cache after a change of labels or of the configuration."""
         self._names_by_key.clear()
 
     def names(
@@ -31,7 +31,7 @@
         config: Config,
         labels_by_upstream: Mapping[str, dict[str, str]],
     ) -> frozenset[str] | None:
-        """Return the usable upstreams, None when no selector restricts them."""
+        """Return the names of matching upstreams, or None if there is no selector."""
         key = (workspace, tier)
         if key not in self._names_by_key:
             selectors = _selectors(pool, workspace, tier, config)
@@ -61,7 +61,7 @@
 
 
 def workspace_limits(config: Config) -> dict[str, WorkspaceLimits]:
-    """Return the limits that the labels of workspaces set."""
+    """Return the limits of each workspace from its labels."""
     return {
         name: _limits(workspace.labels)
         for name, workspace in config.workspaces_by_name.items()
--- a/bitterntiller/components/dispatch/health.py
+++ b/bitterntiller/components/dispatch/health.py
@@ -1,4 +1,4 @@
-"""Which upstreams are sick: found within seconds, probed, taken back."""
+"""Passive health checks: failing upstreams are found in seconds, paused and probed."""
 
 FAILURES_TO_UNHEALTHY = 3
 FIRST_PAUSE_SECONDS = 0.5
@@ -6,9 +6,10 @@
 
 
 class Health:
-    """Counts failures in a row; a sick upstream pauses, then gets one probe.
+    """Counts consecutive failures; an unhealthy upstream pauses, then gets one probe.
 
-    The pause doubles with every failed probe. One good answer ends it.
+    A probe is a single regular request. The pause doubles with every failed probe, up
+    to MAX_PAUSE_SECONDS. One successful response ends it.
     """
 
     __slots__ = ("_failures", "_pause", "paused_until", "unhealthy")
@@ -20,10 +21,10 @@
         self._pause = FIRST_PAUSE_SECONDS
 
     def record_failure(self, now: float, certain: bool = False) -> bool:
-        """Note a failure; return True when the upstream has become sick.
+        """Record a failure; return True if the upstream has become unhealthy by it.
 
-        certain is a failure that more tries can't explain away, such as a
-        refused connection.
+        certain is set for a failure that needs no confirmation by further ones, such as
+        a refused connection.
         """
         self._failures += 1
         if self.unhealthy:
@@ -38,14 +39,14 @@
         return True
 
     def record_success(self) -> None:
-        """Note a good answer."""
+        """Record a successful response."""
         self.unhealthy = False
         self.paused_until = 0.0
         self._failures = 0
         self._pause = FIRST_PAUSE_SECONDS
 
     def allows_request(self, in_flight: int, now: float) -> bool:
-        """Tell whether the upstream may be given one more request."""
+        """Return whether the upstream may get one more request."""
         if not self.unhealthy:
             return True
         return now >= self.paused_until and in_flight == 0
--- a/bitterntiller/components/dispatch/inflight.py
+++ b/bitterntiller/components/dispatch/inflight.py
@@ -1,4 +1,4 @@
-"""How many requests an upstream may have in flight, learned from its latency."""
+"""Adaptive limit of the requests in flight at an upstream, based on its latency."""
 
 import math
 
@@ -8,16 +8,16 @@
 MIN_LIMIT = 2.0
 LIMIT_GAIN = 0.2
 RECOVERY_STEP = 0.25
-"""By how much each answer raises a limit that a refusal has lowered."""
+"""Increase of a lowered limit per response, if the limit isn't adaptive."""
 
 
 class InflightLimit:
-    """Lowers the limit when latency grows beyond its long-run mean.
+    """Limit that is lowered when latency grows beyond its long-run mean.
 
-    The ratio of the long-run to the present latency, with some tolerance, is
-    the gradient by which the limit shrinks; a root of the limit is added, so
-    that it grows back to the upstream's slots. Latency is taken as the ratio of
-    seen to expected seconds, so that sizes don't matter.
+    The limit is multiplied by the gradient, which is TOLERANCE times the long-run over
+    the recent latency, clipped to 0.5 to 1. The square root of the limit is added, so
+    that it grows back to the upstream's slots. Latency is the ratio of measured to
+    expected service time, so that the sizes of requests don't matter.
     """
 
     __slots__ = ("_adaptive", "_long_run_ratio", "_recent_ratio", "_value")
@@ -29,13 +29,13 @@
         self._value = math.inf
 
     def limit(self, slots: int) -> int:
-        """Return the limit, never above the slots that the upstream announces."""
+        """Return the limit, which is at most the slots that the upstream announced."""
         return max(1, int(min(float(slots), self._value)))
 
     def learn(self, ratio: float, slots: int) -> None:
-        """Learn from the latency of one request, relative to its size.
+        """Update the limit with the latency of one request relative to its size.
 
-        Without adaptive a limit that was lowered by a refusal grows back alone.
+        If the limit isn't adaptive, it only recovers from rejections.
         """
         if not self._adaptive:
             self._value = min(self._value + RECOVERY_STEP, float(slots))
@@ -56,5 +56,5 @@
         self._value = min(max(value, MIN_LIMIT), float(slots))
 
     def record_rejection(self, in_flight: int, slots: int) -> None:
-        """Learn that the upstream took no more beside so many in flight."""
+        """Lower the limit to the in_flight beside which a request was rejected."""
         self._value = max(MIN_LIMIT, min(self._value, float(slots), float(in_flight)))
--- a/bitterntiller/components/dispatch/isolation.py
+++ b/bitterntiller/components/dispatch/isolation.py
@@ -1,8 +1,8 @@
-"""Where a request may run under which upstreams have ended.
+"""Isolation of requests that may have crashed upstreams.
 
-Whatever ran on an upstream that ended is under suspicion, and most of it is innocent. A
-request with a crash runs as one copy at a time; one with ISOLATED_FROM crashes runs
-beside no other suspect, so that its next crash tells which of them it was.
+Each request that was running on an upstream when it crashed is a suspect, and most are
+innocent. Only one copy of a suspect runs at a time. One with at least ISOLATED_FROM
+crashes runs beside no other suspect, so that its next crash identifies the culprit.
 """
 
 from bitterntiller.components.dispatch.ledger import Ledger
@@ -11,13 +11,13 @@
 from bitterntiller.core.interfaces import CrashView
 
 ISOLATED_FROM = 2
-"""Crashes from which a request runs beside no other suspect."""
+"""Number of crashes from which a request doesn't run beside other suspects."""
 
 NOT_SUSPECT = 0
 
 
 class NoCrashes:
-    """A CrashView of a deployment in which nothing has crashed."""
+    """CrashView without any crashes."""
 
     def count(self, fingerprint: int, now: float) -> int:
         """Return 0."""
@@ -29,27 +29,28 @@
 
 
 class Isolation:
-    """Keeps suspects apart from each other, by what is known of their crashes."""
+    """Decides beside which requests a suspect may run, by their number of crashes."""
 
     def __init__(self, crashes: CrashView, pool: Pool) -> None:
         self._crashes = crashes
         self._pool = pool
 
     def quarantined_for(self, request: WaitingRequest, now: float) -> float:
-        """Return the seconds for which a request may not be sent, 0 if it may."""
+        """Return the seconds for which a request is quarantined, 0 if it isn't."""
         if not request.fingerprint:
             return 0.0
         return self._crashes.quarantined_for(request.fingerprint, now)
 
     def suspect_key(self, request: WaitingRequest, now: float) -> int:
-        """Return the fingerprint of a suspect, NOT_SUSPECT for any other request.
+        """Return the fingerprint of a suspect, or NOT_SUSPECT.
 
-        Suspects wait in groups of their own, so that none holds up other requests.
+        It is part of the queue group, so that a suspect that has to wait doesn't block
+        other requests.
         """
         return request.fingerprint if self._count(request, now) else NOT_SUSPECT
 
     def allows(self, request: WaitingRequest, ledger: Ledger, now: float) -> bool:
-        """Tell whether a request may run beside what runs at an upstream."""
+        """Return whether a request may run beside the requests of an upstream."""
         count = self._count(request, now)
         if count and self._pool.in_flight_by_fingerprint[request.fingerprint]:
             return False
--- a/bitterntiller/components/dispatch/jobs.py
+++ b/bitterntiller/components/dispatch/jobs.py
@@ -1,4 +1,4 @@
-"""A request as the owner of a pool keeps it."""
+"""A request as tracked by the owner of a pool."""
 
 from enum import Enum
 from typing import TYPE_CHECKING
@@ -9,14 +9,15 @@
     from bitterntiller.components.dispatch.upstreams import Upstream
 
 DEMOTION_RANK_OFFSET = 0.5
-"""By how many ranks a late request stands behind its tier: before the next one."""
+"""Added to the tier rank of a demoted request: behind its tier, before the next one."""
 
 
 class JobState(Enum):
-    """Where a request is.
+    """State of a request.
 
-    A parked one waits for one upstream, outside the queue. The grant of a
-    lapsed one was not heard of in time. A gone one is left in some list only.
+    PARKED requests wait outside the queue until a busy upstream has capacity. The use
+    of the grant of an EXPIRED one was not reported in time. GONE ones are no longer
+    tracked and may remain in timers.
     """
 
     QUEUED = "queued"
@@ -28,22 +29,25 @@
 
 
 class Job:
-    """A request with what the owner expects of it; times in seconds.
-
-    work is the expected service on a mean upstream. prefill is the tokens that
-    have to be computed at the upstream, expected_cached those that should be in
-    its cache. expected_wait is the wait that was expected at its arrival. order_key
-    places it within its workspace. late tells that a request of typical size could
-    no longer meet the objective. adopted tells that an earlier owner granted it,
-    guessed that nothing like it was measured yet. parked counts how often no
-    free upstream could end it in time while a busy one might.
+    """A request and what the owner expects of it; times in seconds.
+
+    work is the expected service time on an average upstream, min_service_seconds a
+    lower bound of it on the best one. kv_tokens is the memory that the request takes.
+    prefill is the number of prompt tokens to compute at the upstream, expected_cached
+    of those expected in its cache. expected_wait is the wait estimated on arrival.
+    order_key orders requests within a workspace, and group_key names the queue group.
+
+    demoted is set when a request of typical size could no longer meet the objective,
+    adopted if an earlier owner granted the request, and unmeasured if no similar call
+    of a plain service has ended yet. park_count counts how often no free upstream could
+    finish it in time while a busy one might. target is the upstream reserved for a
+    waiting request, or the upstream of an expired grant.
     """
 
     __slots__ = (
         "adopted",
-        "min_service_seconds",
         "blocked_since",
-        "received_at",
+        "demoted",
         "expected_cached",
         "expected_output",
         "expected_total",
@@ -51,23 +55,24 @@
         "first_output_at",
         "granted_at",
         "group_key",
-        "unmeasured",
         "in_flight_at_start",
         "kind",
         "kv_tokens",
-        "demoted",
+        "min_service_seconds",
         "order_key",
         "park_count",
-        "target",
         "prefill",
         "rank",
+        "received_at",
+        "request",
         "reregistered",
         "return_count",
-        "request",
         "sequence",
         "state",
+        "target",
         "tokens_at",
         "tokens_seen",
+        "unmeasured",
         "upstream",
         "work",
         "workspace",
@@ -108,10 +113,10 @@
 
     @property
     def queue_rank(self) -> float:
-        """Return the place of its queue: what is late comes behind its own tier."""
+        """Return the rank of its queue; demoted requests come behind their own tier."""
         return self.rank + DEMOTION_RANK_OFFSET if self.demoted else float(self.rank)
 
     @property
     def waiting(self) -> bool:
-        """Tell whether the request has no grant."""
+        """Return whether the request waits for a grant."""
         return self.state in (JobState.QUEUED, JobState.PARKED)
--- a/bitterntiller/components/dispatch/ledger.py
+++ b/bitterntiller/components/dispatch/ledger.py
@@ -1,4 +1,4 @@
-"""The owner's own account of what is outstanding at one upstream."""
+"""The owner's accounting of the outstanding work at one upstream."""
 
 import math
 from collections import OrderedDict, deque
@@ -13,24 +13,25 @@
 REPORT_SLACK_SECONDS = 0.2
 FOREIGN_GAIN = 0.5
 FOREIGN_DECAY_SECONDS = 2.0
-"""Time constant in which work of others fades that no report repeats: that of a usual
-request, and many times the pause between reports of an upstream that is given work."""
+"""Time constant of the decay of foreign requests between reports: the duration of a
+typical request, and many times the interval between reports of an upstream in use."""
 
 NEEDS_CACHE_SECONDS = 0.2
 TRANSIT_SECONDS = 0.1
 
 
 class Need(NamedTuple):
-    """What a running request still needs: tokens, and the seconds left."""
+    """Output tokens that a running request still needs, and the seconds left."""
 
     tokens: float
     seconds: float
 
 
 class Ledger:
-    """Counts requests, prompt tokens not yet computed, and memory in tokens.
+    """Counts the requests at an upstream, their outstanding prefill and their memory.
 
-    Of requests at the upstream that are not the owner's, it knows what reports told.
+    Memory is in tokens. Foreign requests, which this owner didn't send, are estimated
+    from the load reports of the upstream.
     """
 
     def __init__(self) -> None:
@@ -47,11 +48,11 @@
 
     @property
     def in_flight(self) -> int:
-        """Return the owner's requests at the upstream, or on their way to it."""
+        """Return the number of this owner's requests at the upstream or sent to it."""
         return len(self.jobs_by_id)
 
     def add(self, job: Job, prefilled: bool, now: float) -> None:
-        """Count a request; prefilled tells that its first token has come."""
+        """Count a request; prefilled is True if its first token was received."""
         request_id = job.request.request_id
         self.jobs_by_id[request_id] = job
         self.kv_tokens += job.kv_tokens
@@ -64,7 +65,7 @@
         self.prefilling_by_id[request_id] = job
 
     def remove(self, job: Job, now: float) -> None:
-        """Count a request no longer."""
+        """Stop counting a request."""
         request_id = job.request.request_id
         if self.jobs_by_id.pop(request_id, None) is None:
             return
@@ -74,10 +75,10 @@
         self._end_prefill(request_id, now)
 
     def finish_prefill(self, job: Job, now: float) -> float | None:
-        """Note that a prefill is done.
+        """Record the end of a prefill.
 
-        Return how long it took if it was the oldest one, which had the prefill
-        of the upstream to itself; None otherwise.
+        Return its duration if it was the oldest one, which ran alone since the upstream
+        prefills one request at a time; None otherwise.
         """
         request_id = job.request.request_id
         if request_id not in self.prefilling_by_id:
@@ -88,25 +89,25 @@
         return now - began if at_head else None
 
     def prefill_backlog(self, speed: Speed, now: float) -> float:
-        """Return the expected seconds until all prefill here is done."""
+        """Return the expected seconds until all outstanding prefill is done."""
         if not self.prefilling_by_id:
             return 0.0
         jobs = iter(self.prefilling_by_id.values())
         head = next(jobs)
         expected = speed.prefill_seconds(head.prefill, head.kind)
         left = expected - (now - self.head_started_at)
-        # An overdue prefill isn't done: it has at least a part of what it has
-        # taken so far before it, or the upstream would look idle while it hangs.
+        # An overdue prefill isn't done. A tenth of its elapsed time is assumed to
+        # remain, or the upstream would look idle while the prefill hangs.
         seconds = max(left, 0.1 * (now - self.head_started_at))
         for job in jobs:
             seconds += speed.prefill_seconds(job.prefill, job.kind)
         return seconds
 
     def tightest_needs(self, best: float, now: float) -> dict[int, Need]:
-        """Return the tightest need of running work by rank of its tier.
+        """Return the tightest need of running work by tier rank.
 
-        Work that could not end in time even at the best seconds per token is
-        left out, since nothing is gained by sparing it.
+        best is the upstream's best seconds per token. Work that couldn't end in time
+        even at that speed is left out, since nothing is gained by protecting it.
         """
         if now - self._needs_at < NEEDS_CACHE_SECONDS:
             return self._needs_by_rank
@@ -129,32 +130,33 @@
         return needs
 
     def apply_load_report(self, load: UpstreamLoad, now: float) -> None:
-        """Fold a late load report in.
+        """Update the estimate of foreign requests from a load report.
 
-        The report counts the owner's requests of the time it was measured; only
-        what exceeds them is foreign. Around that time requests were on their way
-        in and out, so the highest own count within a short slack is taken.
+        The report includes this owner's requests at the time of the measurement; only
+        the excess is foreign. Some requests were in transit around that time, so the
+        highest own count within REPORT_SLACK_SECONDS is subtracted.
         """
         own = self._most_in_flight(load.measured_at)
         if own is None:
             return
-        foreign_requests = max(0, load.running + load.waiting - own)
+        excess = max(0, load.running + load.waiting - own)
         known = self.foreign_requests(now)
-        self._foreign = known + FOREIGN_GAIN * (foreign_requests - known)
+        self._foreign = known + FOREIGN_GAIN * (excess - known)
         self._foreign_at = now
 
     def foreign_requests(self, now: float) -> float:
-        """Return how many requests of others are there, as far as reports tell.
+        """Return the estimated number of foreign requests.
 
-        It fades. Reports come with answers, and an upstream whose slots all count as
-        taken by others is sent nothing to answer: it would stay idle for ever.
+        The estimate decays. Reports arrive with responses, and an upstream whose slots
+        all seem taken by foreign requests gets none to respond to: without the decay it
+        would stay idle forever.
         """
         return self._foreign * math.exp(
             (self._foreign_at - now) / FOREIGN_DECAY_SECONDS
         )
 
     def clear(self) -> None:
-        """Forget all; the upstream was started anew and runs none of it."""
+        """Reset all counts after a restart of the upstream, which lost its requests."""
         self.jobs_by_id.clear()
         self.prefilling_by_id.clear()
         self._history.clear()
@@ -175,7 +177,7 @@
             self._history.popleft()
 
     def _most_in_flight(self, at: float) -> int | None:
-        """Return the most own requests around a time, None if it isn't known."""
+        """Return the highest own count around a time, or None if it isn't known."""
         if not self._history or self._history[0][0] > at:
             return None
         most = 0
--- a/bitterntiller/components/dispatch/lifecycle.py
+++ b/bitterntiller/components/dispatch/lifecycle.py
@@ -1,4 +1,4 @@
-"""The requests that an owner knows, on their way from the queue to their end."""
+"""State transitions of the requests that an owner tracks."""
 
 import itertools
 from collections.abc import Callable
@@ -14,17 +14,18 @@
 from bitterntiller.components.dispatch.wait_deadlines import WaitDeadlines
 
 EXPIRED_GRANT_KEPT_SECONDS = 1.0
-"""Least time for which a lapsed grant is kept, should the news of its use be late."""
+"""Minimum time to keep an expired grant, in case the report of its use is late."""
 
 ROUNDING_SECONDS = 1e-9
-"""By how much a sum of times may differ from the time at which its timer comes up."""
+"""Tolerance between a computed sum of times and the time at which its timer is due."""
 
 
 class JobLifecycle:
-    """Moves requests from state to state, and keeps what depends on the state.
+    """Moves requests between states and updates what depends on the state.
 
-    That is the queue, the count of what waits, the load of upstreams and workspaces,
-    and the times at which parked and lapsed requests come up. It decides nothing.
+    That is the queue, the number of waiting requests, the load of upstreams and
+    workspaces, and the timers of parked requests and grants. It makes no decisions.
+    on_capacity_freed is called when a blocked request may find an upstream.
     """
 
     def __init__(
@@ -49,19 +50,19 @@
         self.grant_timers = JobTimers()
 
     def new(self, request: WaitingRequest, now: float) -> Job:
-        """Return a request in its first state; it isn't kept yet."""
+        """Return a new job for a request, not tracked yet."""
         return Job(request, next(self._sequence), now)
 
     def track(self, job: Job) -> None:
-        """Know a request from now on."""
+        """Start tracking a request."""
         self.by_id[job.request.request_id] = job
 
     def is_live(self, job: Job) -> bool:
-        """Tell whether this very request is still known."""
+        """Return whether this job is still the tracked one for its request."""
         return self.by_id.get(job.request.request_id) is job
 
     def enqueue(self, job: Job, now: float) -> None:
-        """Put a request into the queue; plan when it has to be looked at."""
+        """Add a request to the queue and schedule its checks."""
         job.state = JobState.QUEUED
         self.waiting += 1
         self._limiter.wait(job.workspace, 1, now)
@@ -71,11 +72,11 @@
             self.demote(job)
 
     def demote(self, job: Job) -> None:
-        """Put a request that is about to miss its objective behind its own tier.
+        """Queue a request that is about to miss its objective behind its own tier.
 
-        It is worth less than one that can still be served in time, and takes as much
-        of an upstream. In a burst that lasts for seconds all would otherwise be served
-        late, one after the other.
+        It is worth less than a request that can still be served in time, at the same
+        cost. Without demotion, a burst of a few seconds makes every request miss its
+        objective, one after the other.
         """
         if job.demoted or not self.is_live(job) or not job.waiting:
             return
@@ -87,7 +88,7 @@
         self._queue.push(job)
 
     def grant(self, job: Job, pick: PickResult, now: float) -> None:
-        """Take a request out of the queue and count it on its upstream."""
+        """Move a request from the queue to the picked upstream."""
         request, upstream = job.request, pick.upstream
         assert upstream is not None
         upstream.tried_at = now
@@ -114,18 +115,18 @@
         self.grant_timers.add(now + self._grant_seconds, job)
 
     def mark_running(self, job: Job, now: float) -> None:
-        """Note that a grant is used, also one that counted as lapsed."""
+        """Record that a grant is used, even if it had expired."""
         if job.state is JobState.GRANTED:
             job.state = JobState.RUNNING
         elif job.state is JobState.EXPIRED:
-            # The grant was used in time, but the message about it came late.
+            # The grant was used in time, but the report of its use arrived late.
             job.state = JobState.RUNNING
             self._limiter.enter(job.workspace, now)
             if job.target is not None:
                 self._pool.adopt(job, job.target.name, now)
 
     def withdraw(self, job: Job, now: float) -> None:
-        """Take a request out of the queue or off its upstream."""
+        """Remove a request from the queue or from its upstream."""
         if job.state is JobState.QUEUED:
             self._queue.remove(job)
         if job.waiting:
@@ -138,12 +139,12 @@
         job.state = JobState.GONE
 
     def forget(self, job: Job, now: float) -> None:
-        """Take a waiting request out and know it no more."""
+        """Remove a waiting request and stop tracking it."""
         self.by_id.pop(job.request.request_id, None)
         self.withdraw(job, now)
 
     def regroup(self, job: Job, change: Callable[[], None]) -> None:
-        """Change the group of a waiting request; it keeps its place in its tier."""
+        """Change the group of a waiting request; its place in its tier stays."""
         if job.state is JobState.PARKED:
             change()
             return
@@ -153,19 +154,19 @@
         self._on_capacity_freed()
 
     def stop_waiting(self, job: Job, now: float) -> None:
-        """Count a request as waiting no more."""
+        """Stop counting a request as waiting, and release its reservation."""
         self.waiting -= 1
         self._limiter.wait(job.workspace, -1, now)
         self._pool.unreserve(job)
 
     def expire_grant(self, job: Job, now: float) -> None:
-        """Take back a grant that was not heard of in time.
+        """Revoke a grant whose use wasn't reported in time.
 
-        The entry host may have sent under it all the same, and its message may
-        be late. So the request is kept as lapsed until its deadline: started
-        or progress count it again. A second grant comes only if the host has
-        registered it anew; should both arrive, the host uses one of them, since
-        it alone sends, and returns the other.
+        The entry host may have used it all the same, with a late report. The request is
+        therefore kept as EXPIRED until its deadline, and started or progress count it
+        again. A second grant follows only if the host registered the request again. If
+        the host gets both grants it uses one, since no other host sends the request,
+        and returns the other.
         """
         if not self.is_live(job):
             return
--- a/bitterntiller/components/dispatch/models.py
+++ b/bitterntiller/components/dispatch/models.py
@@ -1,4 +1,4 @@
-"""What the owner of a pool knows, hears and decides; no I/O, times in seconds."""
+"""Inputs, decisions and parameters of a pool's scheduler; times in seconds."""
 
 from typing import NamedTuple, Protocol
 
@@ -10,13 +10,13 @@
 class WaitingRequest(NamedTuple):
     """A request that waits for an upstream; its body stays at the entry host.
 
-    deadline and arrived are points in time of the owner's clock, in seconds.
-    Token counts are the entry host's estimates. prefix_hashes name the prompt's
-    growing prefixes, shortest first; prefix_tokens are their lengths, where they are
-    known. first_by is when the first output must be there to be good, and start_by when
-    its caller gives up without one, where these are set. tried are upstreams that did
-    not admit it. fingerprint is the same for each copy of the request, 0 if not known.
-    route is told while a rollout of the service is judged.
+    arrived, deadline, first_by and start_by are points in time on the owner's clock.
+    first_by is the objective for the first output, and start_by the time at which the
+    caller gives up if there is none; None if not set. Token counts are estimates of the
+    entry host. prefix_hashes are the hashes of the prompt's prefixes, shortest first,
+    and prefix_tokens their lengths if known. tried are the upstreams that refused or
+    failed the request. fingerprint is the same for each copy of the request, 0 if
+    unknown. route is set while a rollout of the service is under evaluation.
     """
 
     request_id: str
@@ -39,7 +39,7 @@
 
 
 class UpstreamLoad(NamedTuple):
-    """A load report of an upstream; measured_at is on the owner's clock."""
+    """Load report of an upstream; measured_at is on the owner's clock."""
 
     running: int
     waiting: int
@@ -48,7 +48,7 @@
 
 
 class CacheChange(NamedTuple):
-    """One cache event of an upstream, late and perhaps with gaps before it."""
+    """Cache event of an upstream; it may arrive late, and events before it be lost."""
 
     sequence: int
     stored: bool
@@ -56,7 +56,7 @@
 
 
 class UpstreamState(NamedTuple):
-    """What an upstream says of itself in an announcement."""
+    """State of an upstream as given in its announcement."""
 
     name: str
     address: str
@@ -72,10 +72,10 @@
 
 
 class RateLimitUpdate(NamedTuple):
-    """What an answer of one start of an upstream named as its limit.
+    """Rate limit that a response of one incarnation of an upstream gave.
 
-    limit is in requests a second over all hosts, None for no limit; at is when the
-    answer began, on the owner's clock.
+    limit is in requests per second over all hosts, None for no limit. at is when the
+    response began, on the owner's clock.
     """
 
     upstream: str
@@ -85,9 +85,9 @@
 
 
 class WorkspaceLimits(NamedTuple):
-    """The limits of a workspace, from its labels; None is without limit.
+    """Limits of a workspace, from its labels; None for no limit.
 
-    rate is in requests a second.
+    share is the workspace's weight in fair queueing. rate is in requests per second.
     """
 
     share: float = 1.0
@@ -96,15 +96,15 @@
 
 
 class Basis(NamedTuple):
-    """What a grant was decided by; times in seconds.
-
-    expected is the time of service, waited that since the arrival, expected_wait the
-    wait that was expected then. late tells that it was put behind its tier since its
-    objective was about to be missed, parked how often no free upstream could end it in
-    time while a busy one might. announced is how old the newest announcement of
-    the upstream is. tokens is the request's prompt with the output that is stated.
-    rate_limit is what the upstream's answers name in requests a second, as heard
-    limit_age seconds ago.
+    """Values that a grant was based on; times in seconds.
+
+    expected is the expected service time, waited the time since arrival, and
+    expected_wait the wait that was estimated on arrival. late is set if the request was
+    demoted behind its tier because it was about to miss its objective. parked counts
+    how often no free upstream could finish it in time while a busy one might. announced
+    is the age of the upstream's newest announcement. tokens is the prompt plus the
+    stated output. rate_limit is the upstream's limit in requests per second as given in
+    its responses, last received limit_age seconds ago.
     """
 
     expected: float
@@ -122,7 +122,7 @@
 
 
 class Granted(NamedTuple):
-    """Decision: the entry host may send the request to the upstream now."""
+    """Decision that the entry host may send the request to the upstream now."""
 
     request_id: str
     entry_host: str
@@ -133,11 +133,11 @@
 
 
 class RefusalBasis(NamedTuple):
-    """What a refusal was decided by; times in seconds.
+    """Values that a refusal was based on; times in seconds.
 
-    tokens is the request's prompt with the output that is stated, upstreams how many
-    the request could have gone to, waiting how many requests of the pool wait. waited,
-    expected_wait, late and parked are those of Basis.
+    tokens is the prompt plus the stated output, upstreams the number of upstreams the
+    request was eligible for, and waiting the number of requests waiting in the pool.
+    waited, expected_wait, late and parked are as in Basis.
     """
 
     tokens: int
@@ -150,7 +150,7 @@
 
 
 class Refused(NamedTuple):
-    """Decision: the request is given up; retry_after is in seconds."""
+    """Decision that the request is refused; retry_after is in seconds."""
 
     request_id: str
     entry_host: str
@@ -163,10 +163,10 @@
 
 
 class Completion(NamedTuple):
-    """How a granted request ended, as its entry host tells; times in seconds.
+    """End of a granted request, as reported by its entry host; times in seconds.
 
-    outcome is done, failed, unknown, rejected (the upstream's whole answer blames
-    the request) or caller-gone.
+    outcome is done, failed, unknown, rejected (the upstream responded completely, with
+    an error that is the request's own fault) or caller-gone.
     """
 
     request_id: str
@@ -181,50 +181,51 @@
 
 
 class CanaryAllowance(Protocol):
-    """How many requests may go to a version that is judged; times in seconds."""
+    """Limit on the requests that the candidate version of a rollout gets."""
 
     def is_open(self, now: float) -> bool:
-        """Tell whether any request may go there."""
+        """Return whether the candidate version may get any request."""
         ...
 
     def take(self, route: str, now: float) -> bool:
-        """Use the allowance for a request, if it may go there."""
+        """Consume the allowance for one request; return False if there is none."""
         ...
 
 
 class Scheduler(Protocol):
-    """Decides for one pool.
+    """Grants and refuses the requests of one pool.
 
-    Every call takes the present time in seconds and returns the decisions that
-    follow from it, in order. A request gets one Granted, unless the grant is
-    returned, or one Refused.
+    Every call takes the current time and returns the resulting decisions in order. A
+    request gets one Granted, or another if that grant is returned unused, or one
+    Refused.
     """
 
     def register(self, request: WaitingRequest, now: float) -> list[Decision]:
-        """Take a request into the queue."""
+        """Add a request to the queue."""
         ...
 
     def register_all(
         self, requests: list[WaitingRequest], now: float
     ) -> list[Decision]:
-        """Take requests that wait already, before any of them is granted."""
+        """Add requests that wait already to the queue, before granting any of them."""
         ...
 
     def cancel(self, request_id: str, now: float) -> list[Decision]:
-        """Forget a request whose caller has gone, waiting or running."""
+        """Remove a waiting or running request whose caller disconnected."""
         ...
 
     def started(self, request_id: str, now: float) -> list[Decision]:
-        """Note that the entry host began to send under its grant."""
+        """Record that the entry host started to send the request."""
         ...
 
     def returned(
         self, request_id: str, reason: str, waiting: bool, now: float
     ) -> list[Decision]:
-        """Take back an unused grant; the request had not run.
+        """Revoke a grant that the entry host returned.
 
-        reason is expired, refused-connection, not-admitted or lease. When
-        waiting is true the request goes back to its old place in the queue.
+        reason says why: expired, lease, refused-connection, not-admitted, failed,
+        lost-answer, upstream-left or version-withdrawn. If waiting is true, the request
+        is queued again at its old position.
         """
         ...
 
@@ -235,87 +236,97 @@
         now: float,
         first: float | None = None,
     ) -> list[Decision]:
-        """Note how many output tokens a running request has got so far.
+        """Record the number of output tokens that a running request has received.
 
-        first is how many seconds after its sending the first output came, where the
-        entry host has told.
+        first is the time in seconds from sending to the first output, if the entry host
+        reported it.
         """
         ...
 
     def finished(self, completion: Completion, now: float) -> list[Decision]:
-        """Note the end of a running request."""
+        """Record the end of a running request."""
         ...
 
     def adopt_running(
         self, request: WaitingRequest, upstream: str, output_tokens: int, now: float
     ) -> list[Decision]:
-        """Count a request that was granted by an earlier owner and runs."""
+        """Track a running request that an earlier owner granted."""
         ...
 
     def announce(self, state: UpstreamState, now: float) -> tuple[bool, list[Decision]]:
-        """Take an announcement; False for one older than what is known."""
+        """Apply an announcement; return False if it is older than the known state."""
         ...
 
     def update_rate_limit(self, update: RateLimitUpdate, now: float) -> list[Decision]:
-        """Take note of the limit that an answer of an upstream named."""
+        """Apply the rate limit that a response of an upstream gave."""
         ...
 
     def set_versions(
         self, rules: VersionRules, allowance: CanaryAllowance | None, now: float
     ) -> list[Decision]:
-        """Put version rules in force; what is judged is sent under the allowance."""
+        """Apply version rules, and the allowance of the candidate version."""
         ...
 
     def review(self, fingerprints: frozenset[int], now: float) -> list[Decision]:
-        """Decide anew on waiting copies of requests of whose crashes there is news."""
+        """Reconsider waiting requests whose crash history has changed."""
         ...
 
     def set_limits(
         self, limits_by_workspace: dict[str, WorkspaceLimits], now: float
     ) -> list[Decision]:
-        """Put new limits of workspaces in force."""
+        """Apply new workspace limits."""
         ...
 
     def tick(self, now: float) -> list[Decision]:
-        """Do what time alone brings: lateness, silence, lapsed grants."""
+        """Handle timeouts: late requests, silent upstreams and expired grants."""
         ...
 
     def next_wake(self, now: float) -> float:
-        """Return the time at which tick() is due, if nothing happens before."""
+        """Return the time at which tick() is due if no other call comes first."""
         ...
 
     def take_events(self) -> list[UpstreamEvent]:
-        """Return what it has come to believe of upstreams since the last call."""
+        """Return the changes in the state of upstreams since the last call."""
         ...
 
     def describe(self, now: float) -> dict[str, object]:
-        """Return the owner's view for the dump."""
+        """Return the scheduler's state for the state dump."""
         ...
 
 
 class PolicyParameters(NamedTuple):
-    """What may be tuned in the decisions of one pool; times in seconds.
-
-    kind is engine or plain. A grant that was not heard of is taken back
-    grant_grace after it lapsed. order names an Ordering and fair turns on the
-    sharing between workspaces. ageing is how many seconds of waiting outweigh
-    one second of expected service. A request of long_factor times the mean
-    work is long, and long ones hold at most long_slots of an upstream's slots.
-    wait_share is the part of a request's slack that it may be expected to
-    wait. margin is how many deviations are added to an estimate of completion.
-    prefix_weight is the price of a second of prefill beside the request's own
-    delay. A request is sent on when the prefill outstanding at the upstream is
-    expected to end within prefill_window, since engines know no priority. Long
-    prefills run at most on long_prefills of the upstreams at once. No work is
-    added to an upstream while guard times the present seconds per token would
-    bring running work of the same tier past its deadline, or guard_higher times
-    that of a higher tier; guard 0 turns both off. headroom is the part of an
-    upstream's slots and memory that is kept free by each tier for those above
-    it. optimism is the weight of an upstream's best speed, beside its present
-    one, in the estimate of completion. samples is how many upstreams are drawn
-    where there are many. With adaptive the requests in flight are bounded by what the
-    latency of an upstream shows, below its slots. Each tier below the most important
-    one may hold lower_share of the slots before the tiers above it.
+    """Tuning parameters of one pool; times in seconds.
+
+    kind is engine or plain.
+
+    A grant expires after grant_seconds; the owner revokes it grant_grace later if its
+    use was not reported. An upstream without an announcement for silence_seconds is not
+    used, and a request is refused after no_upstream_seconds without any upstream.
+
+    order names an Ordering, and fair enables fair queueing between workspaces. ageing
+    is the number of seconds of waiting that outweigh one second of expected service. At
+    most max_waiting requests wait. Each tier below the most important one may use
+    lower_share of the slots before the tiers above it.
+
+    A request with more than long_factor times the mean work is long. Long requests hold
+    at most the fraction long_slots of an upstream's slots, and long prefills run on at
+    most the fraction long_prefills of the upstreams at a time.
+
+    wait_share is the fraction of its slack that a request may be expected to wait.
+    margin is the number of deviations added to an estimated completion. optimism is the
+    weight, in that estimate, of an upstream's best speed beside its present speed.
+    prefix_weight is the cost of a second of prefill relative to the request's own
+    delay. samples is the number of upstreams drawn at random in a large pool.
+
+    A request is sent when the prefill outstanding at the upstream is expected to end
+    within prefill_window, since engines have no priorities. No request is added to an
+    upstream if guard times the present seconds per token would make running work of the
+    same tier miss its deadline, or guard_higher times that for running work of a higher
+    tier; guard 0 disables both checks. headroom is the fraction of an upstream's slots
+    and memory that each tier leaves free for the tiers above it. adaptive limits the
+    requests in flight below the upstream's slots according to its latency.
+
+    seed seeds the random number generator.
     """
 
     kind: str = const.KIND_ENGINE
@@ -345,4 +356,4 @@
 
 
 DEFAULT_PARAMETERS = PolicyParameters()
-"""The parameters of an engine pool that was told nothing else."""
+"""Parameters of an engine pool without other settings."""
--- a/bitterntiller/components/dispatch/ordering.py
+++ b/bitterntiller/components/dispatch/ordering.py
@@ -1,4 +1,4 @@
-"""Orders of the waiting requests of one workspace in one tier."""
+"""Orderings of the waiting requests of one workspace in one tier."""
 
 from typing import Protocol
 
@@ -13,15 +13,15 @@
 
 
 class Ordering(Protocol):
-    """Gives the place of a request; it must not change while it waits."""
+    """Sort key of requests; it must not change while a request waits."""
 
     def key(self, job: Job) -> float:
-        """Return the place; lower is sooner."""
+        """Return the sort key; the lowest comes first."""
         ...
 
 
 class Fifo:
-    """In order of arrival."""
+    """First come, first served."""
 
     def key(self, job: Job) -> float:
         """Return the time of arrival."""
@@ -29,7 +29,7 @@
 
 
 class EarliestDeadline:
-    """Whose deadline comes first."""
+    """Earliest deadline first."""
 
     def key(self, job: Job) -> float:
         """Return the deadline."""
@@ -37,32 +37,31 @@
 
 
 class LeastSlack:
-    """Who must begin first so that it ends in time."""
+    """Least slack first: the request that must start first to end in time."""
 
     def key(self, job: Job) -> float:
-        """Return the latest time to begin."""
+        """Return the latest start time."""
         return job.request.deadline - job.work
 
 
 class ShortestWithAgeing:
-    """The least expected service first.
+    """Shortest job first, with ageing.
 
-    Each second of waiting makes up for some service, which is the same as
-    adding the service, times the ageing, to the time of arrival. So no request
-    is overtaken by one that arrives later than its own service times the
-    ageing: long work can't starve.
+    The key is the time of arrival plus ageing times the expected service time. A
+    request is therefore never overtaken by one that arrives more than ageing times its
+    own service time later, and long work can't starve.
     """
 
     def __init__(self, ageing: float) -> None:
         self._ageing = ageing
 
     def key(self, job: Job) -> float:
-        """Return the time of arrival and the aged service."""
+        """Return the time of arrival plus the weighted service time."""
         return job.request.arrived + self._ageing * job.work
 
 
 def new_ordering(parameters: PolicyParameters) -> Ordering:
-    """Return the ordering that the parameters name."""
+    """Return the ordering that the parameters select."""
     return {
         ORDER_FIFO: Fifo(),
         ORDER_EARLIEST_DEADLINE: EarliestDeadline(),
--- a/bitterntiller/components/dispatch/parking.py
+++ b/bitterntiller/components/dispatch/parking.py
@@ -1,4 +1,4 @@
-"""Requests at the head of the queue that no free upstream suits now."""
+"""Requests set aside from the queue until a suitable upstream has capacity."""
 
 from collections.abc import Callable
 
@@ -11,10 +11,10 @@
 
 
 class Parking:
-    """Keeps such requests out of the queue, so that others get past them.
+    """Parks requests that no free upstream can finish in time, to let others pass.
 
-    Each waits for one upstream, or for none in particular, and goes back into
-    the queue when that one has room, and after PARK_SECONDS at the latest.
+    A parked request waits for one upstream, or for none in particular. It is queued
+    again when that upstream has capacity, and after PARK_SECONDS at the latest.
     """
 
     def __init__(self, queue: PoolQueue) -> None:
@@ -23,7 +23,7 @@
         self._timers = JobTimers()
 
     def park(self, job: Job, upstream: str | None, now: float) -> None:
-        """Take a request out of the queue until its upstream has room."""
+        """Move a request out of the queue until its upstream has capacity."""
         self._queue.remove(job)
         job.state = JobState.PARKED
         job.park_count += 1
@@ -32,20 +32,20 @@
         self._timers.add(now + PARK_SECONDS, job)
 
     def unpark_for(self, upstream: str) -> None:
-        """Put back what waits for an upstream that has room again."""
+        """Queue the requests parked for an upstream that has capacity again."""
         for job in self._jobs_by_upstream.pop(upstream, {}).values():
             self._unpark(job)
 
     def unpark_due(self, now: float) -> None:
-        """Put back what has waited its time."""
+        """Queue the requests that have been parked for PARK_SECONDS."""
         for job in self._timers.due(now):
             self._unpark(job)
 
     def unpark_all(self) -> None:
-        """Put everything back, so that shedding sees all that waits.
+        """Queue all parked requests, so that shedding considers them.
 
-        A parked request of the lowest tier would else be passed over, and one
-        of a higher tier shed in its place.
+        Otherwise a parked request of the lowest tier would be skipped, and one of a
+        higher tier shed in its place.
         """
         for parked_by_id in self._jobs_by_upstream.values():
             for job in parked_by_id.values():
@@ -53,15 +53,15 @@
         self._jobs_by_upstream.clear()
 
     def next_due(self) -> float:
-        """Return when the next request goes back by time."""
+        """Return when the next parked request is due to be queued."""
         return self._timers.next_due()
 
     def prune(self, live: int, is_live: Callable[[Job], bool]) -> None:
-        """Forget the times of requests that have ended."""
+        """Drop the timers of requests that have ended."""
         self._timers.prune(live, is_live)
 
     def _unpark(self, job: Job) -> None:
-        # One that was withdrawn meanwhile must not come back into the queue.
+        # A request that was withdrawn meanwhile must not be queued again.
         if job.state is JobState.PARKED:
             job.state = JobState.QUEUED
             self._queue.push(job)
--- a/bitterntiller/components/dispatch/picker.py
+++ b/bitterntiller/components/dispatch/picker.py
@@ -1,4 +1,4 @@
-"""Which upstream a request is sent to, if any can end it in time."""
+"""Picks the upstream that a request is sent to, if any can finish it in time."""
 
 import random
 from collections.abc import Iterable
@@ -25,10 +25,10 @@
 
 
 class PickStatus(Enum):
-    """Why a request has no upstream yet.
+    """Whether an upstream was picked, and why not.
 
-    BLOCKED: none is free for it. WAIT: a free one would end it too late, but
-    a busy one may end it in time. LATE: none can.
+    BLOCKED: no upstream accepts the request now. PARK: those that accept it would
+    finish it too late, but a busy one may finish it in time. LATE: no upstream can.
     """
 
     PICKED = "picked"
@@ -38,7 +38,11 @@
 
 
 class PickResult(NamedTuple):
-    """The verdict, and the upstream chosen or waited for."""
+    """Status, and the upstream that was picked or is worth waiting for.
+
+    cached is the expected number of cached prompt tokens, and total the expected
+    service time in seconds.
+    """
 
     status: PickStatus
     upstream: Upstream | None = None
@@ -47,11 +51,11 @@
 
 
 class UpstreamPicker:
-    """Weighs the expected completion at each candidate.
+    """Picks the upstream with the least expected cost among the candidates.
 
-    In a small pool all upstreams are candidates. In a large one some free ones
-    are drawn at random, and some that hold the longest known prefix are added,
-    so that the cost of a choice does not grow with the pool.
+    In a small pool all upstreams are candidates. In a large one they are some free
+    upstreams drawn at random and some that hold the longest known prefix, so that the
+    cost of a pick doesn't grow with the pool.
     """
 
     def __init__(
@@ -68,7 +72,7 @@
         self.canaries = CanaryPicker(pool, isolation)
 
     def pick(self, job: Job, view: View, now: float) -> PickResult:
-        """Choose for a request that is at the head of its queue."""
+        """Pick an upstream for the request at the head of the queue."""
         canary = self.canaries.pick(job, now)
         if canary is not None:
             cached, _, total = self._estimate(job, canary, now)
@@ -94,9 +98,9 @@
                 best = PickResult(PickStatus.PICKED, upstream, cached, total)
         if best is not None:
             return best
-        return self._why_not_picked(job, view, candidates, any_accepts, now)
+        return self._fallback(job, view, candidates, any_accepts, now)
 
-    def _why_not_picked(
+    def _fallback(
         self,
         job: Job,
         view: View,
@@ -104,7 +108,11 @@
         any_accepts: bool,
         now: float,
     ) -> PickResult:
-        """Tell a request without an upstream what there is to wait for."""
+        """Return a last resort, or the status that explains why nothing was picked.
+
+        A last resort is an idle upstream whose speed is uncertain, to probe it, or the
+        fastest upstream if it is idle and the request fits without the margin only.
+        """
         budget = job.request.deadline - now
         fastest: Upstream | None = None
         fastest_seconds = INFINITE_SECONDS
@@ -129,16 +137,16 @@
         return PickResult(PickStatus.PARK, fastest)
 
     def _accepts_when_idle(self, job: Job, upstream: Upstream, now: float) -> bool:
-        """Tell whether an upstream has nothing to do and may take a request.
+        """Return whether an upstream is idle and accepts a request.
 
-        What fits in time only without the margin is not worth a place beside
-        other work. At an idle upstream it takes nobody's, and no waiting would
-        ever make it fit: it would be shed beside an engine that does nothing.
+        A request that is in time only without the margin isn't worth a slot beside
+        other work. At an idle upstream it displaces nothing, and waiting would never
+        make it fit: it would be shed although the engine is idle.
         """
         return not upstream.ledger.in_flight and self._accepts(job, upstream, now)
 
     def probe(self, job: Job, view: View, now: float) -> PickResult | None:
-        """Choose an idle upstream of doubtful speed for a request that seems late."""
+        """Pick an idle upstream of uncertain speed for a seemingly late request."""
         for upstream in self._candidates(job, view):
             if upstream.in_doubt(now) and self._accepts(job, upstream, now):
                 cached, alone, _ = self._estimate(job, upstream, now)
@@ -146,13 +154,13 @@
         return None
 
     def min_service_seconds(self, job: Job, view: View, now: float) -> float:
-        """Return a lower bound of the seconds of service if nothing else waited.
+        """Return a lower bound of the service time in seconds without any queueing.
 
-        It joins the best prefill and the best decoding of any upstream, found
-        anew a few times a second, so that it costs the same in any pool. It is
-        0 where it would be a guess, which refuses nothing. A few
-        upstreams drawn at random would not do: a request would be refused as
-        late because its draw missed the upstream that is in time.
+        It combines the best prefill and the best decoding of any upstream, which are
+        updated a few times per second so that the cost doesn't depend on the size of
+        the pool. It is 0, which refuses nothing, while there are no measurements. A
+        random sample of upstreams wouldn't do: a request would be refused as too late
+        if the sample missed the upstream that is in time.
         """
         if job.unmeasured or not len(view.members):
             return 0.0
@@ -163,7 +171,10 @@
         return seconds / 1000
 
     def min_first_output_seconds(self, job: Job, view: View, now: float) -> float:
-        """Return a lower bound of the seconds to the first output, as best_case."""
+        """Return a lower bound of the time in seconds to the first output.
+
+        It is estimated in the same way as min_service_seconds.
+        """
         if job.unmeasured or not len(view.members):
             return 0.0
         if now - view.best_at > HOUSEKEEPING_SECONDS:
@@ -171,7 +182,7 @@
         return view.best_prefill * self._uncached(job) / 1000
 
     def _uncached(self, job: Job) -> int:
-        """Return the prompt tokens that no upstream has in its cache."""
+        """Return the number of prompt tokens that no upstream has in its cache."""
         request = job.request
         level, _ = self._pool.index.longest(request.prefix_hashes)
         if level < 0:
@@ -212,7 +223,11 @@
     def _estimate(
         self, job: Job, upstream: Upstream, now: float
     ) -> tuple[int, float, float]:
-        """Return the cached tokens and the seconds, alone and behind the rest."""
+        """Return the expected cached tokens and two service times in seconds.
+
+        The first service time is without other work at the upstream, the second one
+        behind the work that is outstanding there.
+        """
         request = job.request
         ledger = upstream.ledger
         speed = upstream.speed
@@ -230,7 +245,7 @@
         return cached, prefill + min(best, decode), total
 
     def _accepts(self, job: Job, upstream: Upstream, now: float) -> bool:
-        """Tell whether an upstream can take this request now."""
+        """Return whether an upstream can take a request now."""
         if not upstream.free:
             return False
         if upstream.reserved_for not in (None, job.request.request_id):
@@ -249,20 +264,20 @@
             job, upstream, now
         ):
             return False
-        # The mark is set at events; a pause or the silence of an upstream may
-        # have begun since, and a grant would then be sent to a dead address.
+        # upstream.free is updated on events only. A pause or the silence of the
+        # upstream may have begun since, and the grant would name a dead address.
         if not upstream.can_take(now):
             self._pool.refresh(upstream, now)
             return False
         return True
 
     def _usable_fraction(self, job: Job) -> float:
-        """Return the part of an upstream that a request's tier may fill.
+        """Return the fraction of an upstream that the tier of a request may fill.
 
-        Running work is never displaced. If the lowest tier could fill every
-        slot, a burst of the highest would wait for seconds until some of it
-        ends, with nothing left to shed. Calls of plain services are short, and
-        a part of their few slots costs more than it gives.
+        Running work is never preempted. If the lowest tier could fill every slot, a
+        burst of the highest one would wait for seconds until some work ends, with
+        nothing left to shed. Plain services may be filled completely: their calls are
+        short, and headroom in their few slots costs more than it gains.
         """
         if self._parameters.kind == KIND_PLAIN:
             return 1.0
@@ -270,11 +285,11 @@
         return 1.0 - self._parameters.headroom * above
 
     def _keeps_running_in_time(self, job: Job, upstream: Upstream, now: float) -> bool:
-        """Tell whether running work would still end in time beside this request.
+        """Return whether running work would still end in time beside a request.
 
-        A request slows the others down by its place in the batch and by its
-        prefill, during which they get about half their speed. What runs has its
-        prefill behind it; were it made late, that would be thrown away.
+        A request slows down the others by its slot in the batch and by its prefill,
+        during which they run at about half their speed. The prefill of running work is
+        done and would be wasted if the work became late.
         """
         ledger = upstream.ledger
         speed = upstream.speed
@@ -297,17 +312,17 @@
         )
 
     def _score(self, job: Job, upstream: Upstream, cached: int, total: float) -> float:
-        """Return the cost of an upstream: the delay, and the prefill it takes."""
+        """Return the cost of picking an upstream: the delay plus weighted prefill."""
         tokens = job.request.prompt_tokens - cached
         prefill = upstream.speed.prefill_seconds(tokens, job.kind)
         return total + self._parameters.prefix_weight * prefill
 
     def _too_many_long_prefills(self, view: View) -> bool:
-        """Tell whether enough upstreams are busy with long prefills.
+        """Return whether the limit of upstreams with long prefills is reached.
 
-        An engine does one prefill after the other. If all were busy with long
-        ones, short requests of the highest tier would wait for seconds, with
-        nothing that could be displaced.
+        An engine runs one prefill at a time. If all engines were busy with long ones,
+        short requests of the highest tier would wait for seconds, and nothing could be
+        displaced.
         """
         upstreams_by_name = self._pool.upstreams_by_name
         names: Iterable[str] = view.members
--- a/bitterntiller/components/dispatch/pool.py
+++ b/bitterntiller/components/dispatch/pool.py
@@ -1,4 +1,4 @@
-"""The upstreams of a pool: announcements, silence, and who is free."""
+"""Upstreams of a pool: announcements, membership, load and free capacity."""
 
 import heapq
 from collections import Counter
@@ -26,16 +26,16 @@
 OVERDUE_SECONDS = 0.3
 STALL_SECONDS = 2.0
 MAX_DEFERRED_LIMITS = 1024
-"""Upstreams whose limits are kept though they haven't been announced here."""
+"""Maximum number of rate limits kept for upstreams that aren't announced yet."""
 
 
 class Pool:
-    """Keeps the upstreams and their views.
+    """The upstreams of a pool and the views of them.
 
-    freed collects the upstreams that became free, until somebody takes them.
-    slots is how many requests the upstreams that are there take at once.
-    pace is the mean of expected over seen seconds of service: how much work a
-    second one request in flight gets done. mean_seconds is the mean of seen ones.
+    freed collects the upstreams that became free until the caller clears it. slots is
+    the number of requests that all usable upstreams run at a time. work_rate is the
+    mean of expected over measured service time: the work per second that one request
+    in flight gets done. mean_service_seconds is the mean measured service time.
     """
 
     def __init__(self, parameters: PolicyParameters) -> None:
@@ -61,13 +61,13 @@
         self.version_rules = ANY_VERSION
 
     def set_versions(self, rules: VersionRules, now: float) -> None:
-        """Have only the versions serve that may; the others end what they run."""
+        """Apply version rules; other versions only finish their running requests."""
         self.version_rules = rules
         for upstream in self.upstreams_by_name.values():
             self.refresh(upstream, now)
 
     def candidate_upstreams(self, now: float) -> list[Upstream]:
-        """Return the usable upstreams of the version that is judged, by name."""
+        """Return the usable upstreams of the candidate version, sorted by name."""
         version = self.version_rules.candidate
         if not version:
             return []
@@ -80,11 +80,11 @@
 
     @property
     def any_free(self) -> bool:
-        """Tell whether any upstream can take one more request."""
+        """Return whether any upstream can take one more request."""
         return len(self.views.whole.free) > 0
 
     def note_tier(self, rank: int) -> None:
-        """Note that requests of a tier come here."""
+        """Record that the pool gets requests of a tier."""
         if rank not in self._ranks:
             self._ranks.add(rank)
             self._above_by_rank = {
@@ -94,7 +94,7 @@
     def ranks_below_share(self, share: float) -> list[int]:
         """Return the tiers that hold less than a share of the slots, lowest first.
 
-        The most important tier is none of them.
+        The most important tier is left out.
         """
         if not share:
             return []
@@ -103,20 +103,20 @@
         return [r for r in reversed(lower) if self.in_flight_by_rank[r] < wanted]
 
     def tiers_above(self, rank: int) -> float:
-        """Return how many of the tiers seen here are more important than one."""
+        """Return how many tiers seen in this pool are more important than a tier."""
         return self._above_by_rank.get(rank, 0.0)
 
     def view(self, job: Job) -> View:
-        """Return the upstreams that a request may go to, tried ones included."""
+        """Return the upstreams that a request may use, including tried ones."""
         names = job.request.upstream_names
         return self.views.get(names, self.upstreams_by_name)
 
     def announce(self, state: UpstreamState, now: float) -> bool:
-        """Take an announcement; False for one older than what is known.
+        """Apply an announcement; return False if it is older than the known state.
 
-        A lower pair of incarnation and sequence must not undo a higher one: an
-        announcement that was delayed on its way would bring a leaving upstream
-        back, and requests would be sent to it until the next announcement.
+        Incarnation and sequence order announcements. A delayed announcement could
+        otherwise undo that an upstream is leaving, and requests would be sent to it
+        until its next announcement.
         """
         upstream = self.upstreams_by_name.get(state.name)
         if upstream is None:
@@ -146,7 +146,7 @@
         return True
 
     def adopt(self, job: Job, name: str, now: float) -> None:
-        """Count a request that runs; its upstream may not be known yet."""
+        """Attach a running request to its upstream, once that is announced."""
         upstream = self.upstreams_by_name.get(name)
         if upstream is None:
             self._orphans_by_name.setdefault(name, []).append(job)
@@ -155,7 +155,7 @@
         self.refresh(upstream, now)
 
     def attach(self, job: Job, upstream: Upstream, now: float) -> None:
-        """Count a request at an upstream."""
+        """Count a request as in flight at an upstream."""
         job.upstream = upstream
         self.in_flight_by_rank[job.rank] += 1
         self._count_copy(job, 1)
@@ -163,7 +163,7 @@
         upstream.ledger.add(job, plain or job.tokens_seen > 0, now)
 
     def detach(self, job: Job, now: float) -> None:
-        """Count a request at its upstream no longer."""
+        """Stop counting a request at its upstream."""
         upstream = job.upstream
         if upstream is None:
             self._forget_orphan(job)
@@ -184,10 +184,10 @@
             del copies[fingerprint]
 
     def reserve(self, job: Job, upstream: Upstream | None, now: float) -> None:
-        """Hold an upstream for a request that finds no room for long.
+        """Reserve an upstream for a request that has been blocked for RESERVE_SECONDS.
 
-        Without it a large request starves: each time a small one ends, another
-        small one takes the memory, and the large one never finds enough at once.
+        Without a reservation a large request starves: the memory that a small request
+        frees goes to another small one, and there is never enough for the large one.
         """
         if job.blocked_since is None:
             job.blocked_since = now
@@ -201,7 +201,7 @@
             job.target = upstream
 
     def unreserve(self, job: Job) -> None:
-        """Give up the upstream that is held for a request."""
+        """Release the reservation of a request."""
         job.blocked_since = None
         target = job.target
         job.target = None
@@ -209,7 +209,7 @@
             target.reserved_for = None
 
     def refresh(self, upstream: Upstream, now: float) -> None:
-        """Find out anew whether an upstream is there and free."""
+        """Update whether an upstream is a member of views, and whether it is free."""
         member = upstream.usable(now) and self.version_rules.may_serve(upstream.version)
         self._count_slots(upstream, member)
         free = member and upstream.can_take(now)
@@ -228,7 +228,7 @@
             self._schedule_refresh(upstream, now)
 
     def update_rate_limit(self, update: RateLimitUpdate, now: float) -> None:
-        """Take note of the limit that an answer of an upstream named."""
+        """Apply the rate limit that a response of an upstream gave."""
         upstream = self.upstreams_by_name.get(update.upstream)
         if upstream is None:
             self._defer_rate_limit(update)
@@ -244,7 +244,10 @@
         self.refresh(upstream, now)
 
     def _defer_rate_limit(self, update: RateLimitUpdate) -> None:
-        """Keep a limit until its upstream is known: a new owner hears in any order."""
+        """Keep a rate limit until its upstream is announced.
+
+        A new owner receives rate limits and announcements in any order.
+        """
         limits = self._deferred_limits_by_upstream
         known = limits.pop(update.upstream, None)
         newer = known is None or known.at < update.at
@@ -253,7 +256,7 @@
             del limits[next(iter(limits))]
 
     def refresh_due(self, now: float) -> None:
-        """Refresh the upstreams that time alone may have set free."""
+        """Refresh the upstreams whose scheduled refresh is due."""
         while self._refreshes and self._refreshes[0][0] <= now:
             when, name = heapq.heappop(self._refreshes)
             if self._refresh_at_by_name.get(name) != when:
@@ -264,11 +267,11 @@
                 self.refresh(upstream, now)
 
     def next_refresh(self) -> float:
-        """Return when thaw() is due."""
+        """Return when refresh_due() has to be called next."""
         return self._refreshes[0][0] if self._refreshes else float("inf")
 
     def housekeep(self, now: float) -> None:
-        """Look at every upstream: silence, and work that is overdue."""
+        """Check every upstream: remove long silent ones and learn from overdue work."""
         for name, upstream in list(self.upstreams_by_name.items()):
             if upstream.has_gone(now):
                 self.views.update(upstream, False)
@@ -283,19 +286,19 @@
     def note_failure(
         self, upstream: Upstream, now: float, certain: bool = False
     ) -> None:
-        """Note that an upstream failed; see Health.failure."""
+        """Record a failure of an upstream; see Health.record_failure."""
         if upstream.health.record_failure(now, certain):
             self._note_change(upstream, UpstreamChange.SICK, now)
 
     def note_success(self, upstream: Upstream, now: float) -> None:
-        """Note a good answer of an upstream."""
-        was_sick = upstream.health.unhealthy
+        """Record a successful response of an upstream."""
+        was_unhealthy = upstream.health.unhealthy
         upstream.health.record_success()
-        if was_sick:
+        if was_unhealthy:
             self._note_change(upstream, UpstreamChange.WELL, now)
 
     def note_service_time(self, work: float, seconds: float) -> None:
-        """Learn how fast work gets done in one place of a batch."""
+        """Update work_rate and mean_service_seconds with the end of one request."""
         if seconds > 0:
             self.work_rate += WORK_RATE_GAIN * (
                 min(work / seconds, 4.0) - self.work_rate
@@ -311,12 +314,12 @@
         self.events.note(upstream.event(change, now))
 
     def _learn_from_overdue(self, upstream: Upstream, now: float) -> None:
-        """Learn from work that should have been done by now.
+        """Update the speed estimates from work that is overdue.
 
-        An engine that slows down tells nothing until its work ends, seconds
-        later. What has taken twice as long as expected already is a sample of
-        at least that time; the expectation grows with it, so each doubling of
-        the delay is learned from once.
+        An engine that slows down reports nothing until its work ends, seconds later.
+        Work that has taken OVERDUE_FACTOR times as long as expected counts as a sample
+        of the elapsed time. The expectation grows with it, so that each doubling of the
+        delay is counted once.
         """
         ledger = upstream.ledger
         if ledger.prefilling_by_id:
@@ -332,9 +335,10 @@
             upstream.worked_at = now
 
     def _count_slots(self, upstream: Upstream, member: bool) -> None:
-        """Keep the sum of slots right from the moment that an upstream is known.
+        """Update the pool's slots with those of one upstream.
 
-        A new owner judges what it takes over by it, before its first housekeeping.
+        Housekeeping would be too late: a new owner needs the sum before, to decide on
+        the waiting requests that it takes over.
         """
         slots = upstream.slots_in_use(self.mean_service_seconds) if member else 0
         self.slots += slots - self._slots_by_name.get(upstream.name, 0)
--- a/bitterntiller/components/dispatch/pool_trial.py
+++ b/bitterntiller/components/dispatch/pool_trial.py
@@ -1,6 +1,6 @@
-"""The rollout of an owned pool: its version rules, its trial and its allowance.
+"""Rollout state of an owned pool: version rules, trial and allowance.
 
-Between rollouts it counts nothing.
+Between rollouts nothing is counted.
 """
 
 from bitterntiller.components.dispatch.const import (
@@ -22,16 +22,18 @@
 from bitterntiller.protocol import messages
 
 FAILURES = frozenset({REASON_FAILED, REASON_LOST_ANSWER})
-"""Reasons for which an upstream is to blame that may have run a request."""
+"""Reasons of returned grants that count as a failure of an upstream that may have run
+the request."""
 
 NEW_SECONDS = 0.5
-"""How long after its arrival a request is still taken for one that no owner knows."""
+"""Maximum age of a registered request that counts as new. An older one has waited at
+another owner."""
 
 
 class PoolTrial:
-    """Passes on to a trial what the owner of the pool hears.
+    """Feeds the trial of a rollout with the events of the owned pool.
 
-    trial is None while no rollout of the pool's service is judged.
+    trial is None while no rollout of the pool's service is under evaluation.
     """
 
     def __init__(self, scheduler: Scheduler) -> None:
@@ -43,11 +45,11 @@
 
     @property
     def allowance_left(self) -> int:
-        """Return how many requests more may go to the version that is judged."""
+        """Return how many more requests the candidate version may get."""
         return 0 if self._allowance is None else self._allowance.left
 
     def set_rules(self, rules: VersionRules, now: float) -> list[Decision]:
-        """Put version rules in force; a rollout that is judged begins its trial."""
+        """Apply version rules; a new candidate version starts a trial."""
         if rules == self._rules:
             return []
         self._rules = rules
@@ -59,17 +61,18 @@
         return self._scheduler.set_versions(rules, self._allowance, now)
 
     def allow(self, number: int, more: int, until: float, now: float) -> list[Decision]:
-        """Renew the allowance of a rollout's trial."""
+        """Renew the allowance of the trial of a rollout."""
         if self._allowance is None or self._rules.number != number:
             return []
         self._allowance.renew(more, until)
         return self._scheduler.set_versions(self._rules, self._allowance, now)
 
     def end(self, number: int, complete: bool, now: float) -> list[Decision]:
-        """Act by the verdict on the version that was judged.
+        """Apply the verdict on the candidate version.
 
-        A completed one serves at once: the old upstreams stop, and requests would be
-        sent to them until the next heartbeat tells of other version rules.
+        A completed version serves all requests at once. The old upstreams stop, and
+        requests would be sent to them until the next heartbeat brings new version
+        rules.
         """
         rules = self._rules
         if self._allowance is None or rules.number != number:
@@ -80,24 +83,24 @@
         return self.set_rules(VersionRules(rules.candidate, number=number), now)
 
     def note_announced(self, announcement: messages.Announce, now: float) -> None:
-        """Note how long an upstream is slower yet than it will be."""
+        """Record how long an upstream is still warming up, thus slower than later."""
         if announcement.warm_in_ms:
             warm_at = now + announcement.warm_in_ms / 1000
             self._warm_at_by_upstream.setdefault(announcement.name, warm_at)
 
     def note_gone(self, upstream: str) -> None:
-        """Forget an upstream."""
+        """Remove an upstream."""
         self._warm_at_by_upstream.pop(upstream, None)
 
     def note_registered(self, request: WaitingRequest, now: float) -> None:
-        """Count a request that comes; one that waited at another owner is not new."""
+        """Count a new request; one that has waited at another owner is not new."""
         if self.trial is not None and now - request.arrived <= NEW_SECONDS:
             self.trial.note_reached(request.route)
 
     def note_granted(
         self, decision: Granted, route: str, version: str, now: float
     ) -> None:
-        """Count a grant for the comparison of two versions."""
+        """Record a grant for the comparison of the two versions."""
         if self.trial is None:
             return
         name = decision.upstream
@@ -108,12 +111,12 @@
         )
 
     def note_progress(self, item: messages.ProgressItem) -> None:
-        """Note when the first output of a running request came, if it is told."""
+        """Record the time to the first output of a running request, if reported."""
         if self.trial is not None and item.first_ms is not None:
             self.trial.note_first(item.request_id, item.first_ms / 1000)
 
     def note_finished(self, end: Completion) -> None:
-        """Note the end of a request that was sent."""
+        """Record the end of a granted request."""
         if self.trial is None:
             return
         if end.outcome in (OUTCOME_CALLER_GONE, OUTCOME_REJECTED):
@@ -123,7 +126,7 @@
         self.trial.note_end(end.request_id, failed, end.first_token, end.total)
 
     def note_returned(self, request_id: str, reason: str) -> None:
-        """Note why a grant came back."""
+        """Record the return of a grant; failures count against the version."""
         if self.trial is None:
             return
         if reason in FAILURES:
@@ -131,6 +134,6 @@
         self.trial.forget(request_id)
 
     def forget(self, request_id: str) -> None:
-        """Drop a request that the owner forgets."""
+        """Remove a request."""
         if self.trial is not None:
             self.trial.forget(request_id)
--- a/bitterntiller/components/dispatch/queue.py
+++ b/bitterntiller/components/dispatch/queue.py
@@ -1,4 +1,4 @@
-"""The waiting requests of a pool: tiers first, then fair between workspaces."""
+"""Queue of a pool: strict priority of tiers, fair queueing between workspaces."""
 
 import heapq
 import itertools
@@ -10,48 +10,55 @@
 from bitterntiller.components.dispatch.limits import WorkspaceLimiter
 
 SHARED_FLOW = ""
-"""The workspace of all requests when sharing is turned off."""
+"""Name of the single flow of a group when fair queueing is disabled."""
 
 
 def groups_overlap(key: tuple, other: tuple) -> bool:
-    """Tell whether requests of two groups may go to the same upstream."""
+    """Return whether two groups may use the same upstream."""
     if key[0] is None or other[0] is None:
         return True
     return not key[0].isdisjoint(other[0])
 
 
 class Flow:
-    """The waiting requests of one workspace in one group, in their order."""
+    """Waiting requests of one workspace in one group, sorted by order key.
 
-    __slots__ = ("in_heap", "jobs", "work", "workspace")
+    scheduled is True if the flow has an entry in the heap of its group, or if it is set
+    aside because its workspace is at its concurrency limit.
+    """
+
+    __slots__ = ("jobs", "scheduled", "work", "workspace")
 
     def __init__(self, workspace: str) -> None:
         self.workspace = workspace
         self.jobs: SortedList = SortedList()
         self.work = 0.0
-        self.in_heap = False
+        self.scheduled = False
 
     def add(self, job: Job) -> None:
-        """Put a request into its place."""
+        """Add a request."""
         self.jobs.add((job.order_key, job.sequence, job))
         self.work += job.work
 
     def remove(self, job: Job) -> None:
-        """Take a request out."""
+        """Remove a request."""
         self.jobs.remove((job.order_key, job.sequence, job))
         self.work -= job.work
 
     def first(self) -> Job:
-        """Return the request that is next."""
+        """Return the first request in order."""
         return self.jobs[0][2]
 
     def last(self) -> Job:
-        """Return the request that is the last in order."""
+        """Return the last request in order."""
         return self.jobs[-1][2]
 
 
 class Group:
-    """The flows of requests that may go to the same upstreams."""
+    """Flows of requests that can use the same upstreams.
+
+    heap orders the flows by the virtual time of their workspace.
+    """
 
     __slots__ = ("flows_by_workspace", "heap", "key", "work")
 
@@ -63,12 +70,12 @@
 
 
 class TierQueue:
-    """The waiting requests of one tier.
+    """Waiting requests of one tier.
 
-    Workspaces share by start-time fair queueing: each has a virtual time that
-    grows with the work it was granted, divided by its share. The workspace that
-    is furthest behind is next. One that was idle begins at the present virtual
-    time, so that it can't save up.
+    Workspaces share the tier by start-time fair queueing: the virtual time of a
+    workspace grows with the work that it was granted, divided by its share, and the
+    workspace with the least virtual time is next. A workspace that was idle starts at
+    the tier's current virtual time, so that it can't accumulate credit.
     """
 
     def __init__(self, rank: float, fair: bool, limiter: WorkspaceLimiter) -> None:
@@ -89,11 +96,11 @@
 
     @property
     def holds_demoted(self) -> bool:
-        """Tell whether it holds the requests that were put behind a tier."""
+        """Return whether this is the queue of requests demoted behind a tier."""
         return self.rank != int(self.rank)
 
     def push(self, job: Job) -> None:
-        """Take a request in."""
+        """Add a request."""
         group = self.groups_by_key.get(job.group_key)
         if group is None:
             group = self.groups_by_key[job.group_key] = Group(job.group_key)
@@ -104,11 +111,11 @@
         flow.add(job)
         group.work += job.work
         self._count(job, name, 1)
-        if not flow.in_heap:
+        if not flow.scheduled:
             self._push_flow(group, flow)
 
     def remove(self, job: Job) -> None:
-        """Take a request out."""
+        """Remove a request."""
         name = job.workspace if self._fair else SHARED_FLOW
         group = self.groups_by_key[job.group_key]
         flow = group.flows_by_workspace[name]
@@ -121,7 +128,7 @@
         self._count(job, name, -1)
 
     def charge(self, job: Job) -> None:
-        """Let a workspace pay for a request that was granted."""
+        """Advance the virtual time of a workspace by the work of a granted request."""
         name = job.workspace if self._fair else SHARED_FLOW
         begun = self._virtual_time_by_workspace.get(name, self._virtual_time)
         self._virtual_time = max(self._virtual_time, begun)
@@ -149,14 +156,17 @@
         return best
 
     def uncap(self, workspace: str) -> None:
-        """Let a workspace that was at its concurrency take part again."""
+        """Resume a workspace that was at its concurrency limit."""
         for group, flow in self._capped_by_workspace.pop(workspace, ()):
-            flow.in_heap = False
+            flow.scheduled = False
             if flow.jobs:
                 self._push_flow(group, flow)
 
     def work_ahead(self, job: Job) -> float:
-        """Return the work of the job's own workspace that goes before it."""
+        """Return the work queued ahead of a request in its own workspace.
+
+        It is estimated from the request's position, at the mean work of each flow.
+        """
         name = job.workspace if self._fair else SHARED_FLOW
         ahead = 0.0
         for group in self.groups_by_key.values():
@@ -168,36 +178,40 @@
         return ahead
 
     def overlapping_work(self, key: tuple) -> float:
-        """Return the work of the groups that share upstreams with one."""
+        """Return the work of the groups that may use the same upstreams as a group."""
         if key[0] is None:
             return self.work
         groups = self.groups_by_key.values()
         return sum(group.work for group in groups if groups_overlap(group.key, key))
 
     def uncap_all(self) -> None:
-        """Let all workspaces take part again."""
+        """Resume all workspaces that were at their concurrency limit."""
         for workspace in list(self._capped_by_workspace):
             self.uncap(workspace)
 
     def flows(self) -> Iterator[Flow]:
-        """Yield all flows."""
+        """Yield the flows of all groups."""
         for group in self.groups_by_key.values():
             yield from group.flows_by_workspace.values()
 
     def _push_flow(self, group: Group, flow: Flow) -> None:
         time = self._virtual_time_by_workspace.get(flow.workspace, self._virtual_time)
         heapq.heappush(group.heap, (time, next(self._entry_numbers), flow))
-        flow.in_heap = True
+        flow.scheduled = True
 
     def _next_flow(self, group: Group) -> Flow | None:
-        """Return the flow that is furthest behind, mending stale entries."""
+        """Return the flow with the least virtual time, or None.
+
+        Virtual times in the heap may be out of date and are corrected on the way. Flows
+        of workspaces at their concurrency limit are set aside until uncap().
+        """
         heap = group.heap
         while heap:
             time, entry, flow = heap[0]
             name = flow.workspace
             if not flow.jobs:
                 heapq.heappop(heap)
-                flow.in_heap = False
+                flow.scheduled = False
                 continue
             present = self._virtual_time_by_workspace.get(name, self._virtual_time)
             if present > time:
@@ -219,8 +233,8 @@
             del self._count_by_workspace[name]
             del self.work_by_workspace[name]
             self.shares -= self._share_by_workspace.pop(name)
-            behind = self._virtual_time_by_workspace.get(name, 0.0)
-            if behind <= self._virtual_time:
+            virtual_time = self._virtual_time_by_workspace.get(name, 0.0)
+            if virtual_time <= self._virtual_time:
                 self._virtual_time_by_workspace.pop(name, None)
             return
         if by > 0 and count == 1:
@@ -234,7 +248,7 @@
 
 
 class PoolQueue:
-    """The queues of all tiers, the most important one first."""
+    """Queues of all tiers, the most important one first."""
 
     def __init__(self, fair: bool, limiter: WorkspaceLimiter) -> None:
         self._fair = fair
@@ -250,19 +264,19 @@
         return tier
 
     def push(self, job: Job) -> None:
-        """Take a request in."""
+        """Add a request."""
         self.tier(job.queue_rank).push(job)
 
     def remove(self, job: Job) -> None:
-        """Take a request out."""
+        """Remove a request."""
         self.tiers_by_rank[job.queue_rank].remove(job)
 
     def charge(self, job: Job) -> None:
-        """Let a workspace pay for a request that was granted."""
+        """Charge the work of a granted request to its workspace."""
         self.tier(job.queue_rank).charge(job)
 
     def head_of(self, rank: float, blocked: Container[tuple]) -> Job | None:
-        """Return the next request of one tier, None when it has none."""
+        """Return the next request of one tier, or None."""
         tier = self.tiers_by_rank.get(rank)
         return tier.head(blocked) if tier is not None and tier.count else None
 
@@ -277,17 +291,17 @@
         return None
 
     def uncap(self, workspace: str) -> None:
-        """Let a workspace that was at its concurrency take part again."""
+        """Resume a workspace that was at its concurrency limit."""
         for tier in self.tiers_by_rank.values():
             tier.uncap(workspace)
 
     def uncap_all(self) -> None:
-        """Let all take part again, since their limits may have changed."""
+        """Resume all workspaces, since their limits may have changed."""
         for tier in self.tiers_by_rank.values():
             tier.uncap_all()
 
     def lowest_waiting(self) -> TierQueue | None:
-        """Return the least important tier that has requests waiting."""
+        """Return the least important tier that has waiting requests, or None."""
         for tier in reversed(self.tiers_by_rank.values()):
             if tier.count:
                 return tier
--- a/bitterntiller/components/dispatch/refusals.py
+++ b/bitterntiller/components/dispatch/refusals.py
@@ -1,4 +1,4 @@
-"""Which requests are refused, and what their callers are told."""
+"""Refusals of requests, with the reason and the time after which to retry."""
 
 from bitterntiller.components.dispatch.jobs import Job
 from bitterntiller.components.dispatch.lifecycle import JobLifecycle
@@ -11,7 +11,7 @@
 
 
 class Refusals:
-    """Makes refusals, each with the time after which its caller may come back."""
+    """Builds refusals and decides which new requests are refused on arrival."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         self._wait_deadlines = wait_deadlines
 
     def check_arrival(self, job: Job, now: float) -> Refused | None:
-        """Refuse what is over its workspace's limits or late already."""
+        """Refuse a new request over a limit of its workspace, or already too late."""
         workspace = job.workspace
         wait = self._limiter.take_rate(workspace, now)
         if wait > 0:
@@ -47,19 +47,19 @@
         return None
 
     def drop(self, job: Job, reason: Reason, now: float) -> Refused:
-        """Refuse a request that was kept, and forget it."""
+        """Refuse a tracked request and stop tracking it."""
         self._jobs.forget(job, now)
         return self.refuse(job, reason, now)
 
     def quarantined(self, job: Job, quarantined_for: float, now: float) -> Refused:
-        """Refuse a request under which too many upstreams have ended."""
+        """Refuse a quarantined request, which has crashed too many upstreams."""
         return self._refusal(job, Reason.CRASHES_UPSTREAMS, quarantined_for, now)
 
     def refuse(self, job: Job, reason: Reason, now: float) -> Refused:
-        """Refuse a request until its tier has drained.
+        """Refuse a request, to be retried when its tier has drained.
 
-        Without any upstream nothing drains, and no measured rate would tell when to
-        come back: the caller is told that there is none, and to look again soon.
+        Without any upstream nothing drains and there is no rate to estimate that time
+        from. The reason is then NO_UPSTREAM, with a short time to retry.
         """
         if not self._pool.view(job).members:
             retry = self._wait_estimator.retry_without_upstream()
--- a/bitterntiller/components/dispatch/scheduler.py
+++ b/bitterntiller/components/dispatch/scheduler.py
@@ -1,4 +1,4 @@
-"""The decisions of the owner of one pool."""
+"""Scheduler of one pool: queues requests and grants them to upstreams."""
 
 import random
 
@@ -59,11 +59,11 @@
 
 
 class PoolScheduler:
-    """Decides for one pool; see models.Scheduler for the calls.
+    """Implementation of models.Scheduler.
 
-    A request goes through register, a grant, started, progress and finished.
-    Each call changes the state of the requests and upstreams it names, and then
-    Granting grants as long as an upstream is free.
+    The calls for a request are register, which leads to a grant, then started, progress
+    and finished. Each call updates the requests and upstreams that it concerns and then
+    runs Granting, which grants requests while an upstream is free.
     """
 
     def __init__(
@@ -115,16 +115,16 @@
         )
 
     def register(self, request: WaitingRequest, now: float) -> list[Decision]:
-        """Take a request into the queue; a known one stays as it is."""
+        """Add a request to the queue; a request that is tracked stays as it is."""
         return self.register_all([request], now)
 
     def register_all(
         self, requests: list[WaitingRequest], now: float
     ) -> list[Decision]:
-        """Take requests that wait already, before any of them is granted.
+        """Add requests that wait already to the queue, before granting any of them.
 
-        The lowest tier comes first, so that there is something to displace when
-        a higher one finds no room.
+        The lowest tier is added first, so that it can be shed when the queue has no
+        room for a higher tier.
         """
         decisions: list[Decision] = []
         for request in sorted(requests, key=_lowest_tier_first):
@@ -137,9 +137,9 @@
     ) -> None:
         known = self._jobs.by_id.get(request.request_id)
         if known is not None and known.state is not JobState.EXPIRED:
-            # The link to the entry host broke and the host registers anew. If
-            # the grant was lost with the link, the request would be forgotten
-            # when the grant lapses; the mark brings it back into the queue then.
+            # The connection to the entry host broke and the host registers its requests
+            # again. If the grant was lost with the connection, this flag returns the
+            # request to the queue when the grant expires instead of dropping it.
             known.reregistered = True
             return
         if known is not None:
@@ -165,7 +165,7 @@
         self._jobs.enqueue(job, now)
 
     def cancel(self, request_id: str, now: float) -> list[Decision]:
-        """Forget a request whose caller has gone, waiting or running."""
+        """Remove a waiting or running request whose caller disconnected."""
         job = self._jobs.by_id.pop(request_id, None)
         if job is None:
             return []
@@ -175,7 +175,7 @@
         return decisions
 
     def started(self, request_id: str, now: float) -> list[Decision]:
-        """Note that the entry host began to send under its grant."""
+        """Record that the entry host started to send the request."""
         job = self._jobs.by_id.get(request_id)
         if job is not None:
             self._jobs.mark_running(job, now)
@@ -184,7 +184,7 @@
     def returned(
         self, request_id: str, reason: str, waiting: bool, now: float
     ) -> list[Decision]:
-        """Take back an unused grant, and the request if it still waits."""
+        """Revoke a returned grant, and requeue the request if it still waits."""
         job = self._jobs.by_id.pop(request_id, None)
         if job is None:
             return []
@@ -209,7 +209,7 @@
         now: float,
         first: float | None = None,
     ) -> list[Decision]:
-        """Note how many output tokens a running request has got so far."""
+        """Record the number of output tokens that a running request has received."""
         job = self._jobs.by_id.get(request_id)
         if job is None:
             return []
@@ -224,7 +224,7 @@
         return decisions
 
     def finished(self, completion: Completion, now: float) -> list[Decision]:
-        """Note the end of a running request."""
+        """Record the end of a running request."""
         job = self._jobs.by_id.pop(completion.request_id, None)
         if job is None:
             return []
@@ -237,7 +237,7 @@
     def adopt_running(
         self, request: WaitingRequest, upstream: str, output_tokens: int, now: float
     ) -> list[Decision]:
-        """Count a request that was granted by an earlier owner and runs."""
+        """Track a running request that an earlier owner granted."""
         known = self._jobs.by_id.pop(request.request_id, None)
         if known is not None:
             self._jobs.withdraw(known, now)
@@ -254,14 +254,14 @@
         return []
 
     def announce(self, state: UpstreamState, now: float) -> tuple[bool, list[Decision]]:
-        """Take an announcement; False for one older than what is known."""
+        """Apply an announcement; return False if it is older than the known state."""
         decisions: list[Decision] = []
         accepted = self._pool.announce(state, now)
         self._granting.decide(now, decisions)
         return accepted, decisions
 
     def update_rate_limit(self, update: RateLimitUpdate, now: float) -> list[Decision]:
-        """Take note of the limit that an answer of an upstream named."""
+        """Apply the rate limit that a response of an upstream gave."""
         decisions: list[Decision] = []
         self._pool.update_rate_limit(update, now)
         if self._pool.freed:
@@ -271,7 +271,7 @@
     def set_versions(
         self, rules: VersionRules, allowance: CanaryAllowance | None, now: float
     ) -> list[Decision]:
-        """Put version rules in force; what is judged is sent under the allowance."""
+        """Apply version rules, and the allowance of the candidate version."""
         decisions: list[Decision] = []
         self._picker.canaries.allowance = allowance
         self._pool.set_versions(rules, now)
@@ -280,7 +280,11 @@
         return decisions
 
     def review(self, fingerprints: frozenset[int], now: float) -> list[Decision]:
-        """Decide anew on waiting copies of requests of whose crashes there is news."""
+        """Reconsider waiting requests whose crash history has changed.
+
+        Requests that are quarantined now are refused; the others move to the group that
+        fits their number of crashes.
+        """
         decisions: list[Decision] = []
         for job in list(self._jobs.by_id.values()):
             if job.request.fingerprint not in fingerprints or not job.waiting:
@@ -297,7 +301,7 @@
     def set_limits(
         self, limits_by_workspace: dict[str, WorkspaceLimits], now: float
     ) -> list[Decision]:
-        """Put new limits of workspaces in force."""
+        """Apply new workspace limits."""
         decisions: list[Decision] = []
         self._limiter.set_limits(limits_by_workspace)
         self._queue.uncap_all()
@@ -305,7 +309,7 @@
         return decisions
 
     def tick(self, now: float) -> list[Decision]:
-        """Do what time alone brings: lateness, silence, lapsed grants."""
+        """Handle timeouts: late requests, silent upstreams and expired grants."""
         decisions: list[Decision] = []
         for job in self._jobs.grant_timers.due(now):
             self._jobs.expire_grant(job, now)
@@ -321,7 +325,7 @@
         return decisions
 
     def next_wake(self, now: float) -> float:
-        """Return the time at which tick() is due, if nothing happens before."""
+        """Return the time at which tick() is due if no other call comes first."""
         housekeeping = self._housekeeping_at
         if not self._jobs.by_id:
             housekeeping = max(housekeeping, now + IDLE_WAKE_SECONDS)
@@ -334,11 +338,11 @@
         )
 
     def take_events(self) -> list[UpstreamEvent]:
-        """Return what it has come to believe of upstreams since the last call."""
+        """Return the changes in the state of upstreams since the last call."""
         return self._pool.events.take()
 
     def describe(self, now: float) -> dict[str, object]:
-        """Return the owner's view for the dump."""
+        """Return the scheduler's state for the state dump."""
         return describe(
             self._pool, self._queue, self._wait_estimator, self._jobs.waiting, now
         )
@@ -350,7 +354,7 @@
         self._set_group_key(job, now)
 
     def _set_group_key(self, job: Job, now: float) -> None:
-        """Put a request among those that may go to the same upstreams."""
+        """Set the key of the queue group whose requests can use the same upstreams."""
         request = job.request
         job.group_key = (
             request.upstream_names,
@@ -360,7 +364,10 @@
         )
 
     def _make_room(self, job: Job, now: float, decisions: list[Decision]) -> None:
-        """Shed someone for a new request, itself if nothing below it waits."""
+        """Shed a request if the queue is full or the expected wait is too long.
+
+        The new request itself is shed if no request of a lower tier waits.
+        """
         if not self._jobs.waiting:
             return
         reason = Reason.SHED
@@ -377,11 +384,11 @@
         decisions.append(self._refusals.drop(victim, reason, now))
 
     def _requeue(self, job: Job, now: float, decisions: list[Decision]) -> None:
-        """Put a request whose grant was not used back into its place."""
+        """Queue a request whose grant was returned at its old position."""
         members = self._pool.view(job).members
         if members and all(name in job.request.tried for name in members):
-            # All have turned it down. Its deadline may allow another round,
-            # but not without end: each try costs the entry host a connection.
+            # Every upstream refused or failed it. Its deadline may allow another round,
+            # but rounds are limited: each try costs the entry host a connection.
             job.request = job.request._replace(tried=())
             if job.return_count >= MAX_RETURNS:
                 decisions.append(self._refusals.refuse(job, Reason.NOT_ADMITTED, now))
--- a/bitterntiller/components/dispatch/shedding.py
+++ b/bitterntiller/components/dispatch/shedding.py
@@ -1,4 +1,4 @@
-"""Who is given up when more waits than can be served: the lowest tier first."""
+"""Load shedding: which waiting requests are refused in an overload."""
 
 from bitterntiller.components.dispatch.const import MAX_TRIMMED
 from bitterntiller.components.dispatch.jobs import Job
@@ -13,7 +13,10 @@
 
 
 class Shedder:
-    """Picks victims; the only place where a waiting request is displaced."""
+    """Selects the requests to shed, from the lowest tier first.
+
+    No other code sheds a waiting request in favor of another one.
+    """
 
     def __init__(
         self,
@@ -26,7 +29,7 @@
         self._wait_estimator = wait_estimator
 
     def overloaded(self, job: Job, min_service_seconds: float, now: float) -> bool:
-        """Tell whether a new request is expected to wait for too long."""
+        """Return whether a new request is expected to wait too long."""
         job.expected_wait = self._wait_estimator.expected_wait(job, now)
         start_by = job.request.start_by
         if start_by is not None:
@@ -35,10 +38,10 @@
         return job.expected_wait > self._parameters.wait_share * slack
 
     def victim(self, job: Job) -> Job:
-        """Return who has to go so that a new request, not yet queued, may wait.
+        """Return the request to shed so that a new one, not yet queued, may wait.
 
-        It is the last one of the lowest tier that waits for the same upstreams;
-        the new one itself if nothing below its tier waits there.
+        It is the last request of the lowest tier that waits for the same upstreams, or
+        the new request itself if no lower tier waits for them.
         """
         for rank in reversed(self._queue.tiers_by_rank):
             if rank <= job.rank:
@@ -49,11 +52,11 @@
         return job
 
     def trim(self, now: float) -> list[Job]:
-        """Return those that can't be expected to be served in time.
+        """Remove and return requests that aren't expected to be served in time.
 
-        Those of the lowest tier that arrived before the pool slowed down, or before
-        more important work came, and those that were put behind any tier, are told at
-        once instead of at their deadline.
+        These are requests of the lowest tier that arrived before the pool slowed down
+        or before more important work came, and demoted requests of any tier. Their
+        callers get the refusal at once instead of at the deadline.
         """
         lowest = self._queue.lowest_waiting()
         victims: list[Job] = []
@@ -77,7 +80,7 @@
 
     @staticmethod
     def _last(tier: TierQueue, job: Job) -> Job | None:
-        """Return the last request of the largest flow that competes with a job."""
+        """Return the last request of the largest flow that competes with a request."""
         flows = [
             flow
             for group in tier.groups_by_key.values()
--- a/bitterntiller/components/dispatch/size_estimator.py
+++ b/bitterntiller/components/dispatch/size_estimator.py
@@ -1,4 +1,4 @@
-"""What a request will cost, from its estimates and what earlier ones cost."""
+"""Estimates the cost of a request from its stated size and from earlier requests."""
 
 from collections import Counter
 
@@ -14,29 +14,29 @@
 )
 
 RATIO_GAIN = 0.05
-"""Least part by which one answer moves the learned part of the stated output."""
+"""Minimum weight of a new response in the mean used fraction of the stated output."""
 
 MIN_RATIO = 0.05
 MAX_RATIO = 2.0
-"""Least and most of the stated output that one answer is taken to have used; what lies
-outside is a caller's slip and would spoil the mean."""
+"""Bounds of the used fraction of the stated output in one sample. Values outside come
+from a wrong statement of the caller and would distort the mean."""
 
 PRIOR_RATIO = MIN_RATIO**0.5
-"""Part of the stated output that is expected before any answer has ended: the middle,
-by its logarithm, between the least that is taken for possible and all of it. Callers
-state the most they allow, or tokens where an event holds several; with all of it
-expected, a new owner refuses as late what idle upstreams would serve well."""
+"""Expected fraction of the stated output before any response has ended: the geometric
+mean of MIN_RATIO and 1. Callers state the maximum that they allow, or tokens where an
+event of a stream holds several. If all of the stated output were expected, a new owner
+would refuse requests as too late that idle upstreams would serve in time."""
 
 WORKSPACE_PRIOR_ANSWERS = 3
-"""Answers for which the part of the whole pool stands beside a workspace's own."""
+"""Weight, in responses, of the pool's mean in a workspace's own mean."""
 
 MEAN_GAIN = 0.01
 
 
 class SizeEstimator:
-    """Learns how much of the stated output is used, and what is long work.
+    """Learns which fraction of the stated output is used, and the mean work.
 
-    For a plain service the expected output of a call is its expected seconds.
+    For a plain service the expected output of a call is its expected time in seconds.
     """
 
     def __init__(self, parameters: PolicyParameters, speed: PoolSpeed) -> None:
@@ -51,7 +51,7 @@
         self._calls = CallSeconds()
 
     def estimate(self, job: Job) -> None:
-        """Set what is expected of a new request."""
+        """Set the expected output, work and kind (long or short) of a new request."""
         if self._plain:
             self._size_call(job)
         else:
@@ -62,7 +62,7 @@
         job.kind = LONG if job.work > self._long_factor * self._mean_work else SHORT
 
     def learn(self, job: Job, completion: Completion) -> None:
-        """Learn from a request that ended well."""
+        """Update the estimates with a request that ended successfully."""
         if self._plain:
             self._learn_call(job, completion)
             return
@@ -92,8 +92,8 @@
         job.work = OVERHEAD_SECONDS + job.expected_output
 
     def _learn_call(self, job: Job, completion: Completion) -> None:
-        # Long calls are over-represented in what runs at a change of owners, and
-        # are all that a new owner hears of at first. It would take their time for
-        # the mean, and show as short calls refused as late beside idle services.
+        # Long calls are over-represented among those that run when the owner changes,
+        # and a new owner receives the ends of these first. With them in the mean, it
+        # would refuse short calls as too late although services are idle.
         if not job.adopted:
             self._calls.learn(job.request.prompt_tokens, completion.total)
--- a/bitterntiller/components/dispatch/timers.py
+++ b/bitterntiller/components/dispatch/timers.py
@@ -1,4 +1,4 @@
-"""Points in time at which requests have to be looked at again."""
+"""Timers of requests."""
 
 import heapq
 import itertools
@@ -11,29 +11,29 @@
 
 
 class JobTimers:
-    """A heap of requests by time; each entry comes up once."""
+    """Heap of requests by due time; each entry is returned once."""
 
     def __init__(self) -> None:
         self._entries: list[tuple[float, int, Job]] = []
         self._numbers = itertools.count()
 
     def add(self, when: float, job: Job) -> None:
-        """Have a request come up at a time."""
+        """Add a timer for a request."""
         heapq.heappush(self._entries, (when, next(self._numbers), job))
 
     def due(self, now: float) -> list[Job]:
-        """Take out the requests whose time has come, in order."""
+        """Remove and return the requests whose time has come, in order of time."""
         jobs = []
         while self._entries and self._entries[0][0] <= now:
             jobs.append(heapq.heappop(self._entries)[2])
         return jobs
 
     def prune(self, live: int, is_live: Callable[[Job], bool]) -> None:
-        """Drop the entries of ended requests, once most entries are of such.
+        """Drop the entries of ended requests once they are the majority.
 
-        A request that ends leaves its entry behind, and a caller may have set a
-        deadline of hours. It would show as memory that grows with the requests
-        served; this way there are never many more entries than live requests.
+        A request that ends leaves its entry in the heap, and deadlines may be hours
+        away: memory would grow with the number of requests served. Pruning limits the
+        entries to about twice the number of live requests.
         """
         if len(self._entries) <= 2 * live + MIN_ENTRIES_TO_PRUNE:
             return
@@ -41,5 +41,5 @@
         heapq.heapify(self._entries)
 
     def next_due(self) -> float:
-        """Return when the next one comes up."""
+        """Return the time of the next entry."""
         return self._entries[0][0] if self._entries else NEVER
--- a/bitterntiller/components/dispatch/wait_deadlines.py
+++ b/bitterntiller/components/dispatch/wait_deadlines.py
@@ -1,4 +1,4 @@
-"""How long a request may wait: until it is late, and until its objective is missed."""
+"""Deadlines of waiting requests: too late to be served, and objective missed."""
 
 from collections.abc import Callable
 
@@ -11,16 +11,17 @@
 from bitterntiller.components.dispatch.typical import TypicalPrefill
 
 REFUSAL_LEAD_SECONDS = 0.2
-"""How long before its caller gives up a request is refused, so that the refusal still
-reaches the caller and tells it when to come back."""
+"""How long before its caller gives up a request is refused, so that the refusal and its
+Retry-After still reach the caller."""
 
 START_CHECK_SECONDS = 0.03
-"""Least time between two looks at a request whose caller is about to give up; a part of
-LEAVING_SECONDS, since what is known of the fastest prefill moves the time a little."""
+"""Minimum time between two checks of a request whose caller is about to give up. It is
+a fraction of REFUSAL_LEAD_SECONDS because the estimate of the fastest prefill changes,
+which moves the time at which the request becomes too late."""
 
 
 class WaitDeadlines:
-    """Knows when waiting requests have to be looked at, and which are late."""
+    """Schedules checks of waiting requests and decides which are too late."""
 
     def __init__(
         self, parameters: PolicyParameters, pool: Pool, picker: UpstreamPicker
@@ -33,7 +34,7 @@
         self._typical = TypicalPrefill()
 
     def schedule_check(self, job: Job, now: float) -> None:
-        """Have a request come up when it may be late, or nobody is there for it."""
+        """Schedule a check for when a request may be too late or without upstreams."""
         when = self._latest_start(job, now)
         if not self._pool.view(job).members:
             when = min(when, job.received_at + self._no_upstream)
@@ -41,9 +42,9 @@
         self._checks.add(max(when, now + pause), job)
 
     def schedule_objective(self, job: Job, now: float) -> bool:
-        """Have a request come up when a typical one misses its objective.
+        """Schedule the time from which a typical request would miss the objective.
 
-        Tell if that is over already.
+        Return True if that time has passed already.
         """
         first_by = job.request.first_by
         if first_by is None or job.demoted:
@@ -52,8 +53,9 @@
             job, self._pool.view(job), now
         )
         self._typical.learn(job.rank, min_first_output_seconds)
-        # The same for all sizes: with its own prefill subtracted, a large request would
-        # lose its place in a long queue before the small ones around it.
+        # The typical prefill of the tier is subtracted for all sizes. With its own
+        # prefill subtracted, a large request would be demoted in a long queue before
+        # the small ones around it.
         when = first_by - self._typical.seconds(job.rank)
         if when <= now:
             return True
@@ -61,26 +63,26 @@
         return False
 
     def due_checks(self, now: float) -> list[Job]:
-        """Take out the requests that may be late now."""
+        """Remove and return the requests whose check is due."""
         return self._checks.due(now)
 
     def due_objectives(self, now: float) -> list[Job]:
-        """Take out the requests that miss their objective now."""
+        """Remove and return the requests that are about to miss their objective."""
         return self._objectives.due(now)
 
     def next_due(self) -> float:
-        """Return when the next request comes up."""
+        """Return the time of the next check or objective."""
         return min(self._checks.next_due(), self._objectives.next_due())
 
     def prune(self, live: int, is_live: Callable[[Job], bool]) -> None:
-        """Forget the times of requests that have ended."""
+        """Drop the timers of requests that have ended."""
         self._checks.prune(live, is_live)
         self._objectives.prune(live, is_live)
 
     def is_too_late(self, job: Job, now: float) -> bool:
-        """Tell whether no upstream could serve a request while it is of any use.
+        """Return whether no upstream could serve a request in time.
 
-        Nothing that waits is counted, so a request is never refused as late because of
+        Queued work isn't counted, so a request is never refused as too late because of
         work that it could displace.
         """
         view = self._pool.view(job)
@@ -94,12 +96,12 @@
         return self._picker.probe(job, view, now) is None
 
     def no_upstream_for_too_long(self, job: Job, now: float) -> bool:
-        """Tell whether a request has waited too long for any upstream to be there."""
+        """Return whether a request has waited too long without any usable upstream."""
         waited_out = now >= job.received_at + self._no_upstream
         return waited_out and not self._pool.view(job).members
 
     def _latest_start(self, job: Job, now: float) -> float:
-        """Return when a request must be sent at the latest to be of any use."""
+        """Return the latest time at which sending a request is still useful."""
         request = job.request
         when = request.deadline - job.min_service_seconds
         if request.start_by is None:
--- a/bitterntiller/components/dispatch/wait_estimator.py
+++ b/bitterntiller/components/dispatch/wait_estimator.py
@@ -1,4 +1,4 @@
-"""How long a request is expected to wait, and when to come back."""
+"""Estimates of how long a request waits and when a refused caller should retry."""
 
 import random
 
@@ -17,13 +17,14 @@
 MIN_SHARE = 0.05
 
 NO_UPSTREAM_RETRY_SECONDS = 1.0
-"""About the time in which an upstream announces itself after its start."""
+"""Approximate time from the start of an upstream to its announcement."""
 
 
 class WaitEstimator:
-    """Knows the work that waits, the work that arrives and how fast it drains.
+    """Estimates waits from the queued work, its arrival rate and its drain rate.
 
-    Work is in seconds of expected service on a mean upstream.
+    Work is in seconds of expected service on an average upstream. lower_share is the
+    share of the slots that each tier below the most important one has for itself.
     """
 
     def __init__(
@@ -45,34 +46,33 @@
         self._refused = DecayingSum(RETRY_DECAY_SECONDS)
 
     def note_arrival(self, job: Job, now: float) -> None:
-        """Note the work of a request that was taken into the queue."""
+        """Record the work of a request that was queued."""
         self._meter(self._arrivals_by_rank, job.rank, now).add(job.work, now)
 
     def note_grant(self, job: Job, now: float) -> None:
-        """Note the work of a request that was granted."""
+        """Record the work of a request that was granted."""
         self._meter(self._drains_by_rank, job.rank, now).add(job.work, now)
         self._capacity.grant(job.work)
 
     def note_refused(self, job: Job, now: float) -> None:
-        """Note the work of a request whose caller is told to come back."""
+        """Record the work of a refused request whose caller will retry."""
         self._refused.add(job.work, now)
 
     def close_interval(self, now: float) -> None:
-        """Close an interval of measuring the capacity."""
+        """Close a measurement interval of the capacity."""
         saturated = any(tier.count for tier in self._queue.tiers_by_rank.values())
         self._capacity.interval(saturated and not self._pool.any_free, now)
 
     def capacity(self) -> float:
-        """Return the work that the pool gets done in a second."""
+        """Return the work that the pool completes per second."""
         return self._capacity.capacity(max(1, self._pool.slots) * self._pool.work_rate)
 
     def expected_wait(self, job: Job, now: float) -> float:
-        """Return the expected seconds until a request would be granted.
+        """Return the expected seconds until a request is granted.
 
-        One that was put behind its tier waits for its whole tier as well.
-        While no upstream is known nothing can be expected, and 0 is returned: a new
-        owner hears of requests and upstreams in any order, and would otherwise refuse
-        work that the next announcement has room for.
+        A demoted request waits for its whole tier as well. Without any known upstream
+        the result is 0: a new owner receives requests and announcements in any order,
+        and would otherwise refuse work that the next announced upstream can take.
         """
         if not self._pool.slots:
             return 0.0
@@ -92,18 +92,18 @@
         share = 0.0 if job.demoted else self._lower_share
         if not share or not self._pool.tiers_above(job.rank):
             return wait
-        # A lower tier has its share whatever waits above it, but for what is late.
+        # A lower tier gets its share whatever waits above it; demoted requests don't.
         return min(wait, own / (share * capacity))
 
     def retry_after(self, rank: int, now: float) -> float:
-        """Return when a caller of a tier should come back, in seconds.
-
-        It is the time in which what waits above its tier drains at the capacity of the
-        pool, and what waits in it at the rate at which it was granted work of late. A
-        tier that has begun to arrive just now has no such rate yet; until it has, the
-        whole capacity stands for it, since nothing shows that higher tiers take it all
-        for long. What was refused of late comes back as well; a caller that was told
-        without it to come back would be refused again.
+        """Return after how many seconds a refused caller of a tier should retry.
+
+        This is the time in which the work queued above its tier drains at the capacity
+        of the pool, plus that in which the work queued in its tier drains at the tier's
+        recent grant rate. A tier whose first requests have just arrived has no such
+        rate yet. Until it has, the whole capacity is assumed, since nothing shows that
+        higher tiers take all of it for long. Recently refused work is added because it
+        is retried as well: a caller with a shorter time would be refused again.
         """
         above = own = 0.0
         for tier_rank, tier in self._queue.tiers_by_rank.items():
@@ -119,11 +119,11 @@
         return retry_after((above + again) / capacity + own / drain, self._rng)
 
     def retry_without_upstream(self) -> float:
-        """Return when a caller should come back if no upstream is there, in seconds."""
+        """Return after how many seconds to retry if there is no usable upstream."""
         return retry_after(NO_UPSTREAM_RETRY_SECONDS, self._rng)
 
     def _sharing_factor(self, job: Job) -> float:
-        """Return how many times longer sharing makes the wait of a workspace."""
+        """Return the factor by which fair sharing prolongs a workspace's wait."""
         tier = self._queue.tier(job.queue_rank)
         own = self._limiter.share(job.workspace)
         if job.workspace in tier.work_by_workspace:
@@ -131,7 +131,7 @@
         return (tier.shares + own) / own
 
     def _pool_fraction(self, job: Job) -> float:
-        """Return the part of the pool that a request may go to."""
+        """Return the fraction of the pool's upstreams that a request may use."""
         if job.request.upstream_names is None:
             return 1.0
         whole = max(1, len(self._pool.views.whole.members))
