--- a/bitterntiller/components/dispatch/jobs.py
+++ b/bitterntiller/components/dispatch/jobs.py
@@ -1,4 +1,4 @@
-"""A request as the owner of a pool keeps it."""
+"""A request as tracked by the owner of a pool."""
 
 from enum import Enum
 from typing import TYPE_CHECKING
@@ -8,66 +8,71 @@
 if TYPE_CHECKING:
     from bitterntiller.components.dispatch.upstreams import Upstream
 
-LATE_RANKS = 0.5
-"""By how many ranks a late request stands behind its tier: before the next one."""
+DEMOTION_RANK_OFFSET = 0.5
+"""Added to the tier rank of a demoted request: behind its tier, before the next one."""
 
 
 class JobState(Enum):
-    """Where a request is.
+    """State of a request.
 
-    A parked one waits for one upstream, outside the queue. The grant of a
-    lapsed one was not heard of in time. A gone one is left in some list only.
+    PARKED requests wait outside the queue until a busy upstream has capacity. The use
+    of the grant of an EXPIRED one was not reported in time. GONE ones are no longer
+    tracked and may remain in timers.
     """
 
     QUEUED = "queued"
     PARKED = "parked"
     GRANTED = "granted"
     RUNNING = "running"
-    LAPSED = "lapsed"
+    EXPIRED = "expired"
     GONE = "gone"
 
 
 class Job:
-    """A request with what the owner expects of it; times in seconds.
-
-    work is the expected service on a mean upstream. prefill is the tokens that
-    have to be computed at the upstream, expected_cached those that should be in
-    its cache. expected_wait is the wait that was expected at its arrival. order_key
-    places it within its workspace. late tells that a request of typical size could
-    no longer meet the objective. adopted tells that an earlier owner granted it,
-    guessed that nothing like it was measured yet. parked counts how often no
-    free upstream could end it in time while a busy one might.
+    """A request and what the owner expects of it; times in seconds.
+
+    work is the expected service time on an average upstream, min_service_seconds a
+    lower bound of it on the best one. kv_tokens is the memory that the request takes.
+    prefill is the number of prompt tokens to compute at the upstream, expected_cached
+    of those expected in its cache. expected_wait is the wait estimated on arrival.
+    order_key orders requests within a workspace, and group_key names the queue group.
+
+    demoted is set when a request of typical size could no longer meet the objective,
+    adopted if an earlier owner granted the request, and unmeasured if no similar call
+    of a plain service has ended yet. park_count counts how often no free upstream could
+    finish it in time while a busy one might. target is the upstream reserved for a
+    waiting request, or the upstream of an expired grant.
     """
 
     __slots__ = (
         "adopted",
-        "best_case",
         "blocked_since",
-        "entered",
+        "demoted",
         "expected_cached",
         "expected_output",
         "expected_total",
         "expected_wait",
-        "first_seen",
+        "first_output_at",
         "granted_at",
-        "group",
-        "guessed",
+        "group_key",
         "in_flight_at_start",
         "kind",
-        "kv",
-        "late",
+        "kv_tokens",
+        "min_service_seconds",
         "order_key",
-        "parked",
-        "target",
+        "park_count",
         "prefill",
         "rank",
-        "reregistered",
-        "returns",
+        "received_at",
         "request",
+        "reregistered",
+        "return_count",
         "sequence",
         "state",
+        "target",
         "tokens_at",
         "tokens_seen",
+        "unmeasured",
         "upstream",
         "work",
         "workspace",
@@ -78,16 +83,16 @@
         self.workspace = request.workspace
         self.rank = request.tier_rank
         self.sequence = sequence
-        self.entered = now
+        self.received_at = now
         self.state = JobState.QUEUED
         self.kind = 0
         self.work = 0.0
-        self.best_case = 0.0
+        self.min_service_seconds = 0.0
         self.expected_output = float(request.output_tokens)
-        self.kv = request.prompt_tokens + request.output_tokens
+        self.kv_tokens = request.prompt_tokens + request.output_tokens
         self.order_key = 0.0
-        self.late = False
-        self.group: tuple = ()
+        self.demoted = False
+        self.group_key: tuple = ()
         self.upstream: Upstream | None = None
         self.target: Upstream | None = None
         self.blocked_since: float | None = None
@@ -97,21 +102,21 @@
         self.expected_total = 0.0
         self.expected_wait = 0.0
         self.in_flight_at_start = 0
-        self.first_seen: float | None = None
+        self.first_output_at: float | None = None
         self.tokens_seen = 0
         self.tokens_at = 0.0
         self.reregistered = False
-        self.returns = 0
-        self.parked = 0
+        self.return_count = 0
+        self.park_count = 0
         self.adopted = False
-        self.guessed = False
+        self.unmeasured = False
 
     @property
     def queue_rank(self) -> float:
-        """Return the place of its queue: what is late comes behind its own tier."""
-        return self.rank + LATE_RANKS if self.late else float(self.rank)
+        """Return the rank of its queue; demoted requests come behind their own tier."""
+        return self.rank + DEMOTION_RANK_OFFSET if self.demoted else float(self.rank)
 
     @property
     def waiting(self) -> bool:
-        """Tell whether the request has no grant."""
+        """Return whether the request waits for a grant."""
         return self.state in (JobState.QUEUED, JobState.PARKED)
--- a/bitterntiller/components/dispatch/pool.py
+++ b/bitterntiller/components/dispatch/pool.py
@@ -1,4 +1,4 @@
-"""The upstreams of a pool: announcements, silence, and who is free."""
+"""Upstreams of a pool: announcements, membership, load and free capacity."""
 
 import heapq
 from collections import Counter
@@ -16,35 +16,39 @@
     UpstreamChange,
     UpstreamEvents,
 )
-from bitterntiller.components.dispatch.upstreams import Upstream, View, Views
+from bitterntiller.components.dispatch.upstreams import (
+    Upstream,
+    UpstreamView,
+    UpstreamViews,
+)
 from bitterntiller.components.rollouts.models import ANY_VERSION, VersionRules
 
 RESERVE_SECONDS = 1.0
-PACE_GAIN = 0.02
-MIN_PACE = 0.02
+WORK_RATE_GAIN = 0.02
+MIN_WORK_RATE = 0.02
 OVERDUE_FACTOR = 2.0
 OVERDUE_SECONDS = 0.3
 STALL_SECONDS = 2.0
 MAX_DEFERRED_LIMITS = 1024
-"""Upstreams whose limits are kept though they haven't been announced here."""
+"""Maximum number of rate limits kept for upstreams that aren't announced yet."""
 
 
 class Pool:
-    """Keeps the upstreams and their views.
+    """The upstreams of a pool and the views of them.
 
-    freed collects the upstreams that became free, until somebody takes them.
-    slots is how many requests the upstreams that are there take at once.
-    pace is the mean of expected over seen seconds of service: how much work a
-    second one request in flight gets done. mean_seconds is the mean of seen ones.
+    freed collects the upstreams that became free until the caller clears it. slots is
+    the number of requests that all usable upstreams run at a time. work_rate is the
+    mean of expected over measured service time: the work per second that one request
+    in flight gets done. mean_service_seconds is the mean measured service time.
     """
 
     def __init__(self, parameters: PolicyParameters) -> None:
         self.speed = PoolSpeed()
         self.index = PrefixIndex()
-        self.views = Views()
+        self.views = UpstreamViews()
         self.upstreams_by_name: dict[str, Upstream] = {}
-        self.pace = 1.0
-        self.mean_seconds = 1.0
+        self.work_rate = 1.0
+        self.mean_service_seconds = 1.0
         self.slots = 0
         self.in_flight_by_rank: Counter[int] = Counter()
         self.in_flight_by_fingerprint: Counter[int] = Counter()
@@ -53,22 +57,22 @@
         self._ranks: set[int] = set()
         self._above_by_rank: dict[int, float] = {}
         self._parameters = parameters
-        self._thaws: list[tuple[float, str]] = []
-        self._thaw_by_name: dict[str, float] = {}
+        self._refreshes: list[tuple[float, str]] = []
+        self._refresh_at_by_name: dict[str, float] = {}
         self._slots_by_name: dict[str, int] = {}
         self._orphans_by_name: dict[str, list[Job]] = {}
         self._deferred_limits_by_upstream: dict[str, RateLimitUpdate] = {}
-        self.versions = ANY_VERSION
+        self.version_rules = ANY_VERSION
 
     def set_versions(self, rules: VersionRules, now: float) -> None:
-        """Have only the versions serve that may; the others end what they run."""
-        self.versions = rules
+        """Apply version rules; other versions only finish their running requests."""
+        self.version_rules = rules
         for upstream in self.upstreams_by_name.values():
             self.refresh(upstream, now)
 
-    def candidates(self, now: float) -> list[Upstream]:
-        """Return the usable upstreams of the version that is judged, by name."""
-        version = self.versions.candidate
+    def candidate_upstreams(self, now: float) -> list[Upstream]:
+        """Return the usable upstreams of the candidate version, sorted by name."""
+        version = self.version_rules.candidate
         if not version:
             return []
         found = [
@@ -80,21 +84,21 @@
 
     @property
     def any_free(self) -> bool:
-        """Tell whether any upstream can take one more request."""
-        return len(self.views.whole.free) > 0
+        """Return whether any upstream can take one more request."""
+        return len(self.views.unrestricted.free) > 0
 
     def note_tier(self, rank: int) -> None:
-        """Note that requests of a tier come here."""
+        """Record that the pool gets requests of a tier."""
         if rank not in self._ranks:
             self._ranks.add(rank)
             self._above_by_rank = {
                 rank: float(above) for above, rank in enumerate(sorted(self._ranks))
             }
 
-    def short_ranks(self, share: float) -> list[int]:
+    def ranks_below_share(self, share: float) -> list[int]:
         """Return the tiers that hold less than a share of the slots, lowest first.
 
-        The most important tier is none of them.
+        The most important tier is left out.
         """
         if not share:
             return []
@@ -103,20 +107,20 @@
         return [r for r in reversed(lower) if self.in_flight_by_rank[r] < wanted]
 
     def tiers_above(self, rank: int) -> float:
-        """Return how many of the tiers seen here are more important than one."""
+        """Return how many tiers seen in this pool are more important than a tier."""
         return self._above_by_rank.get(rank, 0.0)
 
-    def view(self, job: Job) -> View:
-        """Return the upstreams that a request may go to, tried ones included."""
+    def view(self, job: Job) -> UpstreamView:
+        """Return the upstreams that a request may use, including tried ones."""
         names = job.request.upstream_names
         return self.views.get(names, self.upstreams_by_name)
 
     def announce(self, state: UpstreamState, now: float) -> bool:
-        """Take an announcement; False for one older than what is known.
+        """Apply an announcement; return False if it is older than the known state.
 
-        A lower pair of incarnation and sequence must not undo a higher one: an
-        announcement that was delayed on its way would bring a leaving upstream
-        back, and requests would be sent to it until the next announcement.
+        Incarnation and sequence order announcements. A delayed announcement could
+        otherwise undo that an upstream is leaving, and requests would be sent to it
+        until its next announcement.
         """
         upstream = self.upstreams_by_name.get(state.name)
         if upstream is None:
@@ -138,15 +142,15 @@
                 upstream.restart()
                 self._note_change(upstream, UpstreamChange.RESTARTED, now)
         upstream.state = state
-        upstream.heard_at = now
+        upstream.last_announced_at = now
         if state.load is not None:
-            upstream.ledger.fold(state.load, now)
-        upstream.prefixes.take_changes(state.cache_changes, now)
+            upstream.ledger.apply_load_report(state.load, now)
+        upstream.prefixes.apply_changes(state.cache_changes, now)
         self.refresh(upstream, now)
         return True
 
     def adopt(self, job: Job, name: str, now: float) -> None:
-        """Count a request that runs; its upstream may not be known yet."""
+        """Attach a running request to its upstream, once that is announced."""
         upstream = self.upstreams_by_name.get(name)
         if upstream is None:
             self._orphans_by_name.setdefault(name, []).append(job)
@@ -155,7 +159,7 @@
         self.refresh(upstream, now)
 
     def attach(self, job: Job, upstream: Upstream, now: float) -> None:
-        """Count a request at an upstream."""
+        """Count a request as in flight at an upstream."""
         job.upstream = upstream
         self.in_flight_by_rank[job.rank] += 1
         self._count_copy(job, 1)
@@ -163,7 +167,7 @@
         upstream.ledger.add(job, plain or job.tokens_seen > 0, now)
 
     def detach(self, job: Job, now: float) -> None:
-        """Count a request at its upstream no longer."""
+        """Stop counting a request at its upstream."""
         upstream = job.upstream
         if upstream is None:
             self._forget_orphan(job)
@@ -184,10 +188,10 @@
             del copies[fingerprint]
 
     def reserve(self, job: Job, upstream: Upstream | None, now: float) -> None:
-        """Hold an upstream for a request that finds no room for long.
+        """Reserve an upstream for a request that has been blocked for RESERVE_SECONDS.
 
-        Without it a large request starves: each time a small one ends, another
-        small one takes the memory, and the large one never finds enough at once.
+        Without a reservation a large request starves: the memory that a small request
+        frees goes to another small one, and there is never enough for the large one.
         """
         if job.blocked_since is None:
             job.blocked_since = now
@@ -196,12 +200,12 @@
             return
         if now - job.blocked_since < RESERVE_SECONDS or not upstream.free:
             return
-        if upstream.reserved_for is None and not upstream.fits(job.kv):
+        if upstream.reserved_for is None and not upstream.has_memory_for(job.kv_tokens):
             upstream.reserved_for = job.request.request_id
             job.target = upstream
 
     def unreserve(self, job: Job) -> None:
-        """Give up the upstream that is held for a request."""
+        """Release the reservation of a request."""
         job.blocked_since = None
         target = job.target
         job.target = None
@@ -209,14 +213,14 @@
             target.reserved_for = None
 
     def refresh(self, upstream: Upstream, now: float) -> None:
-        """Find out anew whether an upstream is there and free."""
-        member = upstream.usable(now) and self.versions.may_serve(upstream.version)
+        """Update whether an upstream is a member of views, and whether it is free."""
+        member = upstream.usable(now) and self.version_rules.may_serve(upstream.version)
         self._count_slots(upstream, member)
         free = member and upstream.can_take(now)
         if free and not upstream.free:
             self.freed.append(upstream)
         if member != upstream.member:
-            change = _change_of_use(upstream, member)
+            change = _membership_change(upstream, member)
             if not member and upstream.usable(now):
                 change = UpstreamChange.WITHHELD
             self._note_change(upstream, change, now)
@@ -224,11 +228,11 @@
             upstream.free = free
             upstream.member = member
             self.views.update(upstream, member)
-        if member and not free and upstream.room(now) >= 1:
-            self._plan_thaw(upstream, now)
+        if member and not free and upstream.free_slots(now) >= 1:
+            self._schedule_refresh(upstream, now)
 
     def update_rate_limit(self, update: RateLimitUpdate, now: float) -> None:
-        """Take note of the limit that an answer of an upstream named."""
+        """Apply the rate limit that a response of an upstream gave."""
         upstream = self.upstreams_by_name.get(update.upstream)
         if upstream is None:
             self._defer_rate_limit(update)
@@ -244,7 +248,10 @@
         self.refresh(upstream, now)
 
     def _defer_rate_limit(self, update: RateLimitUpdate) -> None:
-        """Keep a limit until its upstream is known: a new owner hears in any order."""
+        """Keep a rate limit until its upstream is announced.
+
+        A new owner receives rate limits and announcements in any order.
+        """
         limits = self._deferred_limits_by_upstream
         known = limits.pop(update.upstream, None)
         newer = known is None or known.at < update.at
@@ -252,104 +259,111 @@
         if len(limits) > MAX_DEFERRED_LIMITS:
             del limits[next(iter(limits))]
 
-    def thaw(self, now: float) -> None:
-        """Refresh the upstreams that time alone may have set free."""
-        while self._thaws and self._thaws[0][0] <= now:
-            when, name = heapq.heappop(self._thaws)
-            if self._thaw_by_name.get(name) != when:
+    def refresh_due(self, now: float) -> None:
+        """Refresh the upstreams whose scheduled refresh is due."""
+        while self._refreshes and self._refreshes[0][0] <= now:
+            when, name = heapq.heappop(self._refreshes)
+            if self._refresh_at_by_name.get(name) != when:
                 continue
-            del self._thaw_by_name[name]
+            del self._refresh_at_by_name[name]
             upstream = self.upstreams_by_name.get(name)
             if upstream is not None:
                 self.refresh(upstream, now)
 
-    def next_thaw(self) -> float:
-        """Return when thaw() is due."""
-        return self._thaws[0][0] if self._thaws else float("inf")
+    def next_refresh(self) -> float:
+        """Return when refresh_due() has to be called next."""
+        return self._refreshes[0][0] if self._refreshes else float("inf")
 
     def housekeep(self, now: float) -> None:
-        """Look at every upstream: silence, and work that is overdue."""
+        """Check every upstream: remove long silent ones and learn from overdue work."""
         for name, upstream in list(self.upstreams_by_name.items()):
-            if upstream.has_gone(now):
+            if upstream.can_be_forgotten(now):
                 self.views.update(upstream, False)
                 self._count_slots(upstream, False)
                 upstream.prefixes.clear()
                 del self.upstreams_by_name[name]
                 self._note_change(upstream, UpstreamChange.FORGOTTEN, now)
                 continue
-            self._watch(upstream, now)
+            self._learn_from_overdue(upstream, now)
             self.refresh(upstream, now)
 
     def note_failure(
         self, upstream: Upstream, now: float, certain: bool = False
     ) -> None:
-        """Note that an upstream failed; see Health.failure."""
-        if upstream.health.failure(now, certain):
-            self._note_change(upstream, UpstreamChange.SICK, now)
+        """Record a failure of an upstream; see Health.record_failure."""
+        if upstream.health.record_failure(now, certain):
+            self._note_change(upstream, UpstreamChange.UNHEALTHY, now)
 
     def note_success(self, upstream: Upstream, now: float) -> None:
-        """Note a good answer of an upstream."""
-        was_sick = upstream.health.sick
-        upstream.health.success()
-        if was_sick:
-            self._note_change(upstream, UpstreamChange.WELL, now)
-
-    def note_pace(self, work: float, seconds: float) -> None:
-        """Learn how fast work gets done in one place of a batch."""
+        """Record a successful response of an upstream."""
+        was_unhealthy = upstream.health.unhealthy
+        upstream.health.record_success()
+        if was_unhealthy:
+            self._note_change(upstream, UpstreamChange.HEALTHY, now)
+
+    def note_service_time(self, work: float, seconds: float) -> None:
+        """Update work_rate and mean_service_seconds with the end of one request."""
         if seconds > 0:
-            self.pace += PACE_GAIN * (min(work / seconds, 4.0) - self.pace)
-            self.pace = max(self.pace, MIN_PACE)
-            self.mean_seconds += PACE_GAIN * (seconds - self.mean_seconds)
+            self.work_rate += WORK_RATE_GAIN * (
+                min(work / seconds, 4.0) - self.work_rate
+            )
+            self.work_rate = max(self.work_rate, MIN_WORK_RATE)
+            self.mean_service_seconds += WORK_RATE_GAIN * (
+                seconds - self.mean_service_seconds
+            )
 
     def _note_change(
         self, upstream: Upstream, change: UpstreamChange, now: float
     ) -> None:
-        self.events.note(upstream.event(change, now))
+        self.events.record(upstream.event(change, now))
 
-    def _watch(self, upstream: Upstream, now: float) -> None:
-        """Learn from work that should have been done by now.
+    def _learn_from_overdue(self, upstream: Upstream, now: float) -> None:
+        """Update the speed estimates from work that is overdue.
 
-        An engine that slows down tells nothing until its work ends, seconds
-        later. What has taken twice as long as expected already is a sample of
-        at least that time; the expectation grows with it, so each doubling of
-        the delay is learned from once.
+        An engine that slows down reports nothing until its work ends, seconds later.
+        Work that has taken OVERDUE_FACTOR times as long as expected counts as a sample
+        of the elapsed time. The expectation grows with it, so that each doubling of the
+        delay is counted once.
         """
         ledger = upstream.ledger
         if ledger.prefilling_by_id:
             job = next(iter(ledger.prefilling_by_id.values()))
             expected = upstream.speed.prefill_seconds(job.prefill, job.kind)
-            elapsed = now - ledger.head_began
+            elapsed = now - ledger.head_started_at
             if elapsed > OVERDUE_FACTOR * expected + OVERDUE_SECONDS:
-                upstream.speed.learn_first(job.kind, expected, elapsed)
+                upstream.speed.learn_prefill(job.kind, expected, elapsed)
         decoding = ledger.in_flight - len(ledger.prefilling_by_id)
-        stalled = now - upstream.worked_at
-        if upstream.shows_progress and decoding > 0 and stalled > STALL_SECONDS:
+        stalled = now - upstream.last_active_at
+        if upstream.reports_progress and decoding > 0 and stalled > STALL_SECONDS:
             upstream.speed.learn_decode(1, stalled, ledger.in_flight)
-            upstream.worked_at = now
+            upstream.last_active_at = now
 
     def _count_slots(self, upstream: Upstream, member: bool) -> None:
-        """Keep the sum of slots right from the moment that an upstream is known.
+        """Update the pool's slots with those of one upstream.
 
-        A new owner judges what it takes over by it, before its first housekeeping.
+        Housekeeping would be too late: a new owner needs the sum before, to decide on
+        the waiting requests that it takes over.
         """
-        slots = upstream.slots_in_use(self.mean_seconds) if member else 0
+        slots = upstream.usable_slots(self.mean_service_seconds) if member else 0
         self.slots += slots - self._slots_by_name.get(upstream.name, 0)
         if slots:
             self._slots_by_name[upstream.name] = slots
         else:
             self._slots_by_name.pop(upstream.name, None)
 
-    def _plan_thaw(self, upstream: Upstream, now: float) -> None:
-        when = now + max(upstream.prefill_wait(now), upstream.rate_limiter.wait(now))
-        if upstream.health.sick:
+    def _schedule_refresh(self, upstream: Upstream, now: float) -> None:
+        when = now + max(
+            upstream.prefill_wait(now), upstream.rate_limiter.wait_seconds(now)
+        )
+        if upstream.health.unhealthy:
             when = max(when, upstream.health.paused_until)
         if when <= now:
             return
-        planned = self._thaw_by_name.get(upstream.name)
+        planned = self._refresh_at_by_name.get(upstream.name)
         if planned is not None and planned <= when:
             return
-        self._thaw_by_name[upstream.name] = when
-        heapq.heappush(self._thaws, (when, upstream.name))
+        self._refresh_at_by_name[upstream.name] = when
+        heapq.heappush(self._refreshes, (when, upstream.name))
 
     def _forget_orphan(self, job: Job) -> None:
         for jobs in self._orphans_by_name.values():
@@ -358,7 +372,7 @@
                 return
 
 
-def _change_of_use(upstream: Upstream, member: bool) -> UpstreamChange:
+def _membership_change(upstream: Upstream, member: bool) -> UpstreamChange:
     if member:
         return UpstreamChange.USABLE
     return UpstreamChange.LEAVING if upstream.state.leaving else UpstreamChange.SILENT
--- a/bitterntiller/components/dispatch/scheduler.py
+++ b/bitterntiller/components/dispatch/scheduler.py
@@ -1,9 +1,7 @@
-"""The decisions of the owner of one pool."""
+"""Scheduler of one pool: queues requests and grants them to upstreams."""
 
 import random
 
-from bitterntiller.components.dispatch.admission import Admission
-from bitterntiller.components.dispatch.choice import Chooser
 from bitterntiller.components.dispatch.const import (
     HOUSEKEEPING_SECONDS,
     IDLE_WAKE_SECONDS,
@@ -17,11 +15,10 @@
 )
 from bitterntiller.components.dispatch.describe import describe
 from bitterntiller.components.dispatch.estimator import Estimator
-from bitterntiller.components.dispatch.granting import Granting
+from bitterntiller.components.dispatch.grant_loop import GrantLoop
 from bitterntiller.components.dispatch.isolation import Isolation, NoCrashes
 from bitterntiller.components.dispatch.jobs import Job, JobState
 from bitterntiller.components.dispatch.lifecycle import JobLifecycle
-from bitterntiller.components.dispatch.limits import WorkspaceLimiter
 from bitterntiller.components.dispatch.models import (
     DEFAULT_PARAMETERS,
     CanaryAllowance,
@@ -34,18 +31,21 @@
     WorkspaceLimits,
 )
 from bitterntiller.components.dispatch.ordering import new_ordering
-from bitterntiller.components.dispatch.patience import Patience
+from bitterntiller.components.dispatch.picker import UpstreamPicker
 from bitterntiller.components.dispatch.pool import Pool
 from bitterntiller.components.dispatch.queue import PoolQueue
 from bitterntiller.components.dispatch.refusals import Refusals
 from bitterntiller.components.dispatch.shedding import Shedder
-from bitterntiller.components.dispatch.sizes import Sizes
+from bitterntiller.components.dispatch.size_estimator import SizeEstimator
 from bitterntiller.components.dispatch.upstream_events import UpstreamEvent
+from bitterntiller.components.dispatch.wait_deadlines import WaitDeadlines
+from bitterntiller.components.dispatch.wait_estimator import WaitEstimator
+from bitterntiller.components.dispatch.workspace_limiter import WorkspaceLimiter
 from bitterntiller.components.rollouts.models import VersionRules
 from bitterntiller.core.interfaces import CrashView
 from bitterntiller.core.outcomes import Reason
 
-_REASONS_TO_GO_ELSEWHERE = frozenset(
+_REASONS_TO_TRY_ANOTHER = frozenset(
     {
         REASON_NOT_ADMITTED,
         REASON_REFUSED_CONNECTION,
@@ -55,15 +55,15 @@
         REASON_VERSION_WITHDRAWN,
     }
 )
-_REASONS_OF_NO_FAULT = frozenset({REASON_UPSTREAM_LEFT, REASON_VERSION_WITHDRAWN})
+_REASONS_WITHOUT_FAULT = frozenset({REASON_UPSTREAM_LEFT, REASON_VERSION_WITHDRAWN})
 
 
 class PoolScheduler:
-    """Decides for one pool; see models.Scheduler for the calls.
+    """Implementation of models.Scheduler.
 
-    A request goes through register, a grant, started, progress and finished.
-    Each call changes the state of the requests and upstreams it names, and then
-    Granting grants as long as an upstream is free.
+    The calls for a request are register, which leads to a grant, then started, progress
+    and finished. Each call updates the requests and upstreams that it concerns and then
+    runs Granting, which grants requests while an upstream is free.
     """
 
     def __init__(
@@ -77,15 +77,15 @@
         self._pool = Pool(parameters)
         self._queue = PoolQueue(parameters.fair, self._limiter)
         self._ordering = new_ordering(parameters)
-        self._sizes = Sizes(parameters, self._pool.speed)
-        self._estimator = Estimator(parameters, self._pool, self._sizes)
+        self._size_estimator = SizeEstimator(parameters, self._pool.speed)
+        self._estimator = Estimator(parameters, self._pool, self._size_estimator)
         self._isolation = Isolation(crashes or NoCrashes(), self._pool)
-        self._chooser = Chooser(parameters, self._pool, rng, self._isolation)
-        self._patience = Patience(parameters, self._pool, self._chooser)
-        self._admission = Admission(
+        self._picker = UpstreamPicker(parameters, self._pool, rng, self._isolation)
+        self._wait_deadlines = WaitDeadlines(parameters, self._pool, self._picker)
+        self._wait_estimator = WaitEstimator(
             self._pool, self._queue, self._limiter, rng, parameters.lower_share
         )
-        self._shedder = Shedder(parameters, self._queue, self._admission)
+        self._shedder = Shedder(parameters, self._queue, self._wait_estimator)
         self._housekeeping_at = 0.0
         self._blocked: set[tuple] = set()
         self._jobs = JobLifecycle(
@@ -93,34 +93,38 @@
             self._pool,
             self._queue,
             self._limiter,
-            self._patience,
+            self._wait_deadlines,
             self._blocked.clear,
         )
         self._refusals = Refusals(
-            self._pool, self._jobs, self._admission, self._limiter, self._patience
+            self._pool,
+            self._jobs,
+            self._wait_estimator,
+            self._limiter,
+            self._wait_deadlines,
         )
-        self._granting = Granting(
+        self._granting = GrantLoop(
             self._pool,
             self._queue,
             self._jobs,
-            self._chooser,
-            self._admission,
+            self._picker,
+            self._wait_estimator,
             self._refusals,
             self._blocked,
             parameters.lower_share,
         )
 
     def register(self, request: WaitingRequest, now: float) -> list[Decision]:
-        """Take a request into the queue; a known one stays as it is."""
+        """Add a request to the queue; a request that is tracked stays as it is."""
         return self.register_all([request], now)
 
     def register_all(
         self, requests: list[WaitingRequest], now: float
     ) -> list[Decision]:
-        """Take requests that wait already, before any of them is granted.
+        """Add requests that wait already to the queue, before granting any of them.
 
-        The lowest tier comes first, so that there is something to displace when
-        a higher one finds no room.
+        The lowest tier is added first, so that it can be shed when the queue has no
+        room for a higher tier.
         """
         decisions: list[Decision] = []
         for request in sorted(requests, key=_lowest_tier_first):
@@ -132,10 +136,10 @@
         self, request: WaitingRequest, now: float, decisions: list[Decision]
     ) -> None:
         known = self._jobs.by_id.get(request.request_id)
-        if known is not None and known.state is not JobState.LAPSED:
-            # The link to the entry host broke and the host registers anew. If
-            # the grant was lost with the link, the request would be forgotten
-            # when the grant lapses; the mark brings it back into the queue then.
+        if known is not None and known.state is not JobState.EXPIRED:
+            # The connection to the entry host broke and the host registers its requests
+            # again. If the grant was lost with the connection, this flag returns the
+            # request to the queue when the grant expires instead of dropping it.
             known.reregistered = True
             return
         if known is not None:
@@ -145,21 +149,23 @@
         if quarantined_for:
             decisions.append(self._refusals.quarantined(job, quarantined_for, now))
             return
-        self._size(job, now)
-        job.best_case = self._chooser.best_case(job, self._pool.view(job), now)
-        refused = self._refusals.at_entry(job, now)
+        self._estimate_size(job, now)
+        job.min_service_seconds = self._picker.min_service_seconds(
+            job, self._pool.view(job), now
+        )
+        refused = self._refusals.check_arrival(job, now)
         if refused is not None:
             decisions.append(refused)
             return
         self._make_room(job, now, decisions)
         if decisions and decisions[-1].request_id == request.request_id:
             return
-        self._jobs.keep(job)
-        self._admission.note_arrival(job, now)
+        self._jobs.track(job)
+        self._wait_estimator.note_arrival(job, now)
         self._jobs.enqueue(job, now)
 
     def cancel(self, request_id: str, now: float) -> list[Decision]:
-        """Forget a request whose caller has gone, waiting or running."""
+        """Remove a waiting or running request whose caller disconnected."""
         job = self._jobs.by_id.pop(request_id, None)
         if job is None:
             return []
@@ -169,30 +175,30 @@
         return decisions
 
     def started(self, request_id: str, now: float) -> list[Decision]:
-        """Note that the entry host began to send under its grant."""
+        """Record that the entry host started to send the request."""
         job = self._jobs.by_id.get(request_id)
         if job is not None:
-            self._jobs.run(job, now)
+            self._jobs.mark_running(job, now)
         return []
 
     def returned(
         self, request_id: str, reason: str, waiting: bool, now: float
     ) -> list[Decision]:
-        """Take back an unused grant, and the request if it still waits."""
+        """Revoke a returned grant, and requeue the request if it still waits."""
         job = self._jobs.by_id.pop(request_id, None)
         if job is None:
             return []
         decisions: list[Decision] = []
         upstream = job.upstream
-        if upstream is not None and reason in _REASONS_TO_GO_ELSEWHERE:
-            if reason not in _REASONS_OF_NO_FAULT:
+        if upstream is not None and reason in _REASONS_TO_TRY_ANOTHER:
+            if reason not in _REASONS_WITHOUT_FAULT:
                 self._estimator.not_run(upstream, reason, now)
-            job.returns += 1
+            job.return_count += 1
             tried = (*job.request.tried, upstream.name)
             job.request = job.request._replace(tried=tried)
         self._jobs.withdraw(job, now)
         if waiting:
-            self._take_back(job, now, decisions)
+            self._requeue(job, now, decisions)
         self._granting.decide(now, decisions)
         return decisions
 
@@ -203,11 +209,11 @@
         now: float,
         first: float | None = None,
     ) -> list[Decision]:
-        """Note how many output tokens a running request has got so far."""
+        """Record the number of output tokens that a running request has received."""
         job = self._jobs.by_id.get(request_id)
         if job is None:
             return []
-        self._jobs.run(job, now)
+        self._jobs.mark_running(job, now)
         self._estimator.progress(job, output_tokens, now, first)
         if job.upstream is None:
             return []
@@ -218,7 +224,7 @@
         return decisions
 
     def finished(self, completion: Completion, now: float) -> list[Decision]:
-        """Note the end of a running request."""
+        """Record the end of a running request."""
         job = self._jobs.by_id.pop(completion.request_id, None)
         if job is None:
             return []
@@ -231,31 +237,31 @@
     def adopt_running(
         self, request: WaitingRequest, upstream: str, output_tokens: int, now: float
     ) -> list[Decision]:
-        """Count a request that was granted by an earlier owner and runs."""
+        """Track a running request that an earlier owner granted."""
         known = self._jobs.by_id.pop(request.request_id, None)
         if known is not None:
             self._jobs.withdraw(known, now)
         job = self._jobs.new(request, now)
-        self._size(job, now)
+        self._estimate_size(job, now)
         job.state = JobState.RUNNING
         job.adopted = True
         job.tokens_seen = output_tokens
         job.tokens_at = job.granted_at = now
         job.prefill = 0 if output_tokens else request.prompt_tokens
-        self._jobs.keep(job)
-        self._limiter.enter(job.workspace, now)
+        self._jobs.track(job)
+        self._limiter.start_request(job.workspace, now)
         self._pool.adopt(job, upstream, now)
         return []
 
     def announce(self, state: UpstreamState, now: float) -> tuple[bool, list[Decision]]:
-        """Take an announcement; False for one older than what is known."""
+        """Apply an announcement; return False if it is older than the known state."""
         decisions: list[Decision] = []
         accepted = self._pool.announce(state, now)
         self._granting.decide(now, decisions)
         return accepted, decisions
 
     def update_rate_limit(self, update: RateLimitUpdate, now: float) -> list[Decision]:
-        """Take note of the limit that an answer of an upstream named."""
+        """Apply the rate limit that a response of an upstream gave."""
         decisions: list[Decision] = []
         self._pool.update_rate_limit(update, now)
         if self._pool.freed:
@@ -265,16 +271,20 @@
     def set_versions(
         self, rules: VersionRules, allowance: CanaryAllowance | None, now: float
     ) -> list[Decision]:
-        """Put version rules in force; what is judged is sent under the allowance."""
+        """Apply version rules, and the allowance of the candidate version."""
         decisions: list[Decision] = []
-        self._chooser.canaries.allowance = allowance
+        self._picker.canaries.allowance = allowance
         self._pool.set_versions(rules, now)
         self._blocked.clear()
         self._granting.decide(now, decisions)
         return decisions
 
     def review(self, fingerprints: frozenset[int], now: float) -> list[Decision]:
-        """Decide anew on waiting copies of requests of whose crashes there is news."""
+        """Reconsider waiting requests whose crash history has changed.
+
+        Requests that are quarantined now are refused; the others move to the group that
+        fits their number of crashes.
+        """
         decisions: list[Decision] = []
         for job in list(self._jobs.by_id.values()):
             if job.request.fingerprint not in fingerprints or not job.waiting:
@@ -284,14 +294,14 @@
                 self._jobs.forget(job, now)
                 decisions.append(self._refusals.quarantined(job, quarantined_for, now))
                 continue
-            self._jobs.regroup(job, lambda job=job: self._group(job, now))
+            self._jobs.regroup(job, lambda job=job: self._set_group_key(job, now))
         self._granting.decide(now, decisions)
         return decisions
 
     def set_limits(
         self, limits_by_workspace: dict[str, WorkspaceLimits], now: float
     ) -> list[Decision]:
-        """Put new limits of workspaces in force."""
+        """Apply new workspace limits."""
         decisions: list[Decision] = []
         self._limiter.set_limits(limits_by_workspace)
         self._queue.uncap_all()
@@ -299,54 +309,54 @@
         return decisions
 
     def tick(self, now: float) -> list[Decision]:
-        """Do what time alone brings: lateness, silence, lapsed grants."""
+        """Handle timeouts: late requests, silent upstreams and expired grants."""
         decisions: list[Decision] = []
-        for job in self._jobs.lapses.due(now):
-            self._jobs.lapse(job, now)
+        for job in self._jobs.grant_timers.due(now):
+            self._jobs.expire_grant(job, now)
         self._jobs.parking.unpark_due(now)
-        for job in self._patience.due_objectives(now):
+        for job in self._wait_deadlines.due_objectives(now):
             self._jobs.demote(job)
-        for job in self._patience.due_looks(now):
-            self._check_lateness(job, now, decisions)
-        self._pool.thaw(now)
+        for job in self._wait_deadlines.due_checks(now):
+            self._refuse_if_too_late(job, now, decisions)
+        self._pool.refresh_due(now)
         if now >= self._housekeeping_at:
             self._housekeep(now, decisions)
         self._granting.decide(now, decisions)
         return decisions
 
     def next_wake(self, now: float) -> float:
-        """Return the time at which tick() is due, if nothing happens before."""
+        """Return the time at which tick() is due if no other call comes first."""
         housekeeping = self._housekeeping_at
         if not self._jobs.by_id:
             housekeeping = max(housekeeping, now + IDLE_WAKE_SECONDS)
         return min(
             housekeeping,
-            self._jobs.lapses.next(),
-            self._jobs.parking.next(),
-            self._patience.next(),
-            self._pool.next_thaw(),
+            self._jobs.grant_timers.next_due(),
+            self._jobs.parking.next_due(),
+            self._wait_deadlines.next_due(),
+            self._pool.next_refresh(),
         )
 
     def take_events(self) -> list[UpstreamEvent]:
-        """Return what it has come to believe of upstreams since the last call."""
+        """Return the changes in the state of upstreams since the last call."""
         return self._pool.events.take()
 
     def describe(self, now: float) -> dict[str, object]:
-        """Return the owner's view for the dump."""
+        """Return the scheduler's state for the state dump."""
         return describe(
-            self._pool, self._queue, self._admission, self._jobs.waiting, now
+            self._pool, self._queue, self._wait_estimator, self._jobs.waiting, now
         )
 
-    def _size(self, job: Job, now: float) -> None:
-        self._sizes.size(job)
+    def _estimate_size(self, job: Job, now: float) -> None:
+        self._size_estimator.estimate(job)
         self._pool.note_tier(job.rank)
         job.order_key = self._ordering.key(job)
-        self._group(job, now)
+        self._set_group_key(job, now)
 
-    def _group(self, job: Job, now: float) -> None:
-        """Put a request among those that may go to the same upstreams."""
+    def _set_group_key(self, job: Job, now: float) -> None:
+        """Set the key of the queue group whose requests can use the same upstreams."""
         request = job.request
-        job.group = (
+        job.group_key = (
             request.upstream_names,
             frozenset(request.tried),
             job.kind,
@@ -354,66 +364,75 @@
         )
 
     def _make_room(self, job: Job, now: float, decisions: list[Decision]) -> None:
-        """Shed someone for a new request, itself if nothing below it waits."""
+        """Shed a request if the queue is full or the expected wait is too long.
+
+        The new request itself is shed if no request of a lower tier waits.
+        """
         if not self._jobs.waiting:
             return
         reason = Reason.SHED
         if self._jobs.waiting >= self._parameters.max_waiting:
             reason = Reason.QUEUE_FULL
         else:
-            if not self._shedder.overloaded(job, job.best_case, now):
+            if not self._shedder.overloaded(job, job.min_service_seconds, now):
                 return
         self._jobs.parking.unpark_all()
         victim = self._shedder.victim(job)
         if victim is job:
-            decisions.append(self._refusals.of(job, reason, now))
+            decisions.append(self._refusals.refuse(job, reason, now))
             return
-        decisions.append(self._refusals.give_up(victim, reason, now))
+        decisions.append(self._refusals.drop(victim, reason, now))
 
-    def _take_back(self, job: Job, now: float, decisions: list[Decision]) -> None:
-        """Put a request whose grant was not used back into its place."""
+    def _requeue(self, job: Job, now: float, decisions: list[Decision]) -> None:
+        """Queue a request whose grant was returned at its old position."""
         members = self._pool.view(job).members
         if members and all(name in job.request.tried for name in members):
-            # All have turned it down. Its deadline may allow another round,
-            # but not without end: each try costs the entry host a connection.
+            # Every upstream refused or failed it. Its deadline may allow another round,
+            # but rounds are limited: each try costs the entry host a connection.
             job.request = job.request._replace(tried=())
-            if job.returns >= MAX_RETURNS:
-                decisions.append(self._refusals.of(job, Reason.NOT_ADMITTED, now))
+            if job.return_count >= MAX_RETURNS:
+                decisions.append(self._refusals.refuse(job, Reason.NOT_ADMITTED, now))
                 return
         quarantined_for = self._isolation.quarantined_for(job.request, now)
         if quarantined_for:
             decisions.append(self._refusals.quarantined(job, quarantined_for, now))
             return
-        self._group(job, now)
+        self._set_group_key(job, now)
         job.reregistered = False
-        self._jobs.keep(job)
+        self._jobs.track(job)
         self._jobs.enqueue(job, now)
 
-    def _check_lateness(self, job: Job, now: float, decisions: list[Decision]) -> None:
+    def _refuse_if_too_late(
+        self, job: Job, now: float, decisions: list[Decision]
+    ) -> None:
         if not self._jobs.is_live(job) or not job.waiting:
             return
-        if self._patience.is_late(job, now):
-            decisions.append(self._refusals.give_up(job, Reason.TOO_LATE, now))
+        if self._wait_deadlines.is_too_late(job, now):
+            decisions.append(self._refusals.drop(job, Reason.TOO_LATE, now))
             return
-        if self._patience.without_upstream(job, now):
-            decisions.append(self._refusals.give_up(job, Reason.NO_UPSTREAM, now))
+        if self._wait_deadlines.no_upstream_for_too_long(job, now):
+            decisions.append(self._refusals.drop(job, Reason.NO_UPSTREAM, now))
             return
-        self._patience.plan_look(job, now)
+        self._wait_deadlines.schedule_check(job, now)
 
     def _housekeep(self, now: float, decisions: list[Decision]) -> None:
         self._housekeeping_at = now + HOUSEKEEPING_SECONDS
         self._pool.housekeep(now)
-        for timers in (self._patience, self._jobs.lapses, self._jobs.parking):
+        for timers in (
+            self._wait_deadlines,
+            self._jobs.grant_timers,
+            self._jobs.parking,
+        ):
             timers.prune(len(self._jobs.by_id), self._jobs.is_live)
         self._blocked.clear()
-        self._admission.interval(now)
+        self._wait_estimator.close_interval(now)
         self._jobs.parking.unpark_all()
         for job in self._shedder.trim(now):
             del self._jobs.by_id[job.request.request_id]
-            self._jobs.leave_waiting(job, now)
+            self._jobs.stop_waiting(job, now)
             job.state = JobState.GONE
-            reason = Reason.TOO_LATE if job.late else Reason.SHED
-            decisions.append(self._refusals.of(job, reason, now))
+            reason = Reason.TOO_LATE if job.demoted else Reason.SHED
+            decisions.append(self._refusals.refuse(job, reason, now))
 
 
 def _lowest_tier_first(request: WaitingRequest) -> int:
--- a/bitterntiller/components/dispatch/admission.py
+++ b/bitterntiller/components/dispatch/wait_estimator.py
@@ -1,29 +1,30 @@
-"""How long a request is expected to wait, and when to come back."""
+"""Estimates of how long a request waits and when a refused caller should retry."""
 
 import random
 
-from bitterntiller.components.dispatch.drain import (
-    CapacityMeter,
-    RateMeter,
-    retry_after,
-)
 from bitterntiller.components.dispatch.jobs import Job
-from bitterntiller.components.dispatch.limits import WorkspaceLimiter
 from bitterntiller.components.dispatch.pool import Pool
 from bitterntiller.components.dispatch.queue import PoolQueue
+from bitterntiller.components.dispatch.rate_meters import (
+    CapacityMeter,
+    RateMeter,
+    jittered_retry_after,
+)
+from bitterntiller.components.dispatch.workspace_limiter import WorkspaceLimiter
 from bitterntiller.core.decaying import RETRY_DECAY_SECONDS, DecayingSum
 
 METER_SECONDS = 5.0
 MIN_SHARE = 0.05
 
 NO_UPSTREAM_RETRY_SECONDS = 1.0
-"""About the time in which an upstream announces itself after its start."""
+"""Approximate time from the start of an upstream to its announcement."""
 
 
-class Admission:
-    """Knows the work that waits, the work that arrives and how fast it drains.
+class WaitEstimator:
+    """Estimates waits from the queued work, its arrival rate and its drain rate.
 
-    Work is in seconds of expected service on a mean upstream.
+    Work is in seconds of expected service on an average upstream. lower_share is the
+    share of the slots that each tier below the most important one has for itself.
     """
 
     def __init__(
@@ -45,65 +46,64 @@
         self._refused = DecayingSum(RETRY_DECAY_SECONDS)
 
     def note_arrival(self, job: Job, now: float) -> None:
-        """Note the work of a request that was taken into the queue."""
+        """Record the work of a request that was queued."""
         self._meter(self._arrivals_by_rank, job.rank, now).add(job.work, now)
 
     def note_grant(self, job: Job, now: float) -> None:
-        """Note the work of a request that was granted."""
+        """Record the work of a request that was granted."""
         self._meter(self._drains_by_rank, job.rank, now).add(job.work, now)
-        self._capacity.grant(job.work)
+        self._capacity.add_granted(job.work)
 
     def note_refused(self, job: Job, now: float) -> None:
-        """Note the work of a request whose caller is told to come back."""
+        """Record the work of a refused request whose caller will retry."""
         self._refused.add(job.work, now)
 
-    def interval(self, now: float) -> None:
-        """Close an interval of measuring the capacity."""
+    def close_interval(self, now: float) -> None:
+        """Close a measurement interval of the capacity."""
         saturated = any(tier.count for tier in self._queue.tiers_by_rank.values())
-        self._capacity.interval(saturated and not self._pool.any_free, now)
+        self._capacity.close_interval(saturated and not self._pool.any_free, now)
 
     def capacity(self) -> float:
-        """Return the work that the pool gets done in a second."""
-        return self._capacity.capacity(max(1, self._pool.slots) * self._pool.pace)
+        """Return the work that the pool completes per second."""
+        return self._capacity.capacity(max(1, self._pool.slots) * self._pool.work_rate)
 
     def expected_wait(self, job: Job, now: float) -> float:
-        """Return the expected seconds until a request would be granted.
+        """Return the expected seconds until a request is granted.
 
-        One that was put behind its tier waits for its whole tier as well.
-        While no upstream is known nothing can be expected, and 0 is returned: a new
-        owner hears of requests and upstreams in any order, and would otherwise refuse
-        work that the next announcement has room for.
+        A demoted request waits for its whole tier as well. Without any known upstream
+        the result is 0: a new owner receives requests and announcements in any order,
+        and would otherwise refuse work that the next announced upstream can take.
         """
         if not self._pool.slots:
             return 0.0
-        capacity = self.capacity() * self._part(job)
+        capacity = self.capacity() * self._pool_fraction(job)
         ahead = 0.0
         arriving = 0.0
         for rank, tier in self._queue.tiers_by_rank.items():
             if rank >= job.queue_rank:
                 break
-            ahead += tier.overlapping_work(job.group)
+            ahead += tier.overlapping_work(job.group_key)
             arriving += self._arrival_rate(rank, now)
         tier = self._queue.tier(job.queue_rank)
-        own = tier.work_ahead(job) * self._crowd(job)
-        own = min(own, tier.overlapping_work(job.group))
+        own = tier.work_ahead(job) * self._sharing_factor(job)
+        own = min(own, tier.overlapping_work(job.group_key))
         left = max(capacity - arriving, MIN_SHARE * capacity)
         wait = ahead / capacity + own / left
-        share = 0.0 if job.late else self._lower_share
+        share = 0.0 if job.demoted else self._lower_share
         if not share or not self._pool.tiers_above(job.rank):
             return wait
-        # A lower tier has its share whatever waits above it, but for what is late.
+        # A lower tier gets its share whatever waits above it; demoted requests don't.
         return min(wait, own / (share * capacity))
 
     def retry_after(self, rank: int, now: float) -> float:
-        """Return when a caller of a tier should come back, in seconds.
-
-        It is the time in which what waits above its tier drains at the capacity of the
-        pool, and what waits in it at the rate at which it was granted work of late. A
-        tier that has begun to arrive just now has no such rate yet; until it has, the
-        whole capacity stands for it, since nothing shows that higher tiers take it all
-        for long. What was refused of late comes back as well; a caller that was told
-        without it to come back would be refused again.
+        """Return after how many seconds a refused caller of a tier should retry.
+
+        This is the time in which the work queued above its tier drains at the capacity
+        of the pool, plus that in which the work queued in its tier drains at the tier's
+        recent grant rate. A tier whose first requests have just arrived has no such
+        rate yet. Until it has, the whole capacity is assumed, since nothing shows that
+        higher tiers take all of it for long. Recently refused work is added because it
+        is retried as well: a caller with a shorter time would be refused again.
         """
         above = own = 0.0
         for tier_rank, tier in self._queue.tiers_by_rank.items():
@@ -113,28 +113,28 @@
                 own += tier.work
         capacity = self.capacity()
         meter = self._meter(self._drains_by_rank, rank, now)
-        least = max(MIN_SHARE, meter.youth(now)) * capacity
+        least = max(MIN_SHARE, meter.unobserved_fraction(now)) * capacity
         drain = max(meter.rate(now), least)
         again = self._refused.sum(now)
-        return retry_after((above + again) / capacity + own / drain, self._rng)
+        return jittered_retry_after((above + again) / capacity + own / drain, self._rng)
 
     def retry_without_upstream(self) -> float:
-        """Return when a caller should come back if no upstream is there, in seconds."""
-        return retry_after(NO_UPSTREAM_RETRY_SECONDS, self._rng)
+        """Return after how many seconds to retry if there is no usable upstream."""
+        return jittered_retry_after(NO_UPSTREAM_RETRY_SECONDS, self._rng)
 
-    def _crowd(self, job: Job) -> float:
-        """Return how many times longer sharing makes the wait of a workspace."""
+    def _sharing_factor(self, job: Job) -> float:
+        """Return the factor by which fair sharing prolongs a workspace's wait."""
         tier = self._queue.tier(job.queue_rank)
         own = self._limiter.share(job.workspace)
         if job.workspace in tier.work_by_workspace:
             return tier.shares / own
         return (tier.shares + own) / own
 
-    def _part(self, job: Job) -> float:
-        """Return the part of the pool that a request may go to."""
+    def _pool_fraction(self, job: Job) -> float:
+        """Return the fraction of the pool's upstreams that a request may use."""
         if job.request.upstream_names is None:
             return 1.0
-        whole = max(1, len(self._pool.views.whole.members))
+        whole = max(1, len(self._pool.views.unrestricted.members))
         return max(1, len(self._pool.view(job).members)) / whole
 
     def _arrival_rate(self, rank: int, now: float) -> float:
--- a/bitterntiller/components/replication/join_decisions.py
+++ b/bitterntiller/components/replication/join_decisions.py
@@ -24,8 +24,8 @@
 from .core import Replica
 from .members import decode_members, find
 from .models import Member
-from .repair import joined
-from .returning import doubt
+from .repair_decisions import with_learner
+from .startup_check import reset_progress
 from .state import Role, State
 
 
@@ -77,7 +77,7 @@
     return None
 
 
-def hear_empty(state: State, replica: str) -> None:
+def on_empty_follower(state: State, replica: str) -> None:
     """Take note, as a leader, that a follower's log is empty.
 
     An old copy of a folder may be one from before the first entry; it knows no
@@ -86,7 +86,7 @@
     """
     progress = state.progress_by_replica.get(replica)
     if progress is not None and progress.match:
-        doubt(state, replica)
+        reset_progress(state, replica)
 
 
 def answer(replica: Replica, own: LocalReplica, join: Any, now: float) -> Any:
@@ -105,10 +105,10 @@
         return messages.JoinReply(status, address, *own)
     present = find(state.members, join.replica)
     if join.fresh:
-        hear_empty(state, join.replica)
+        on_empty_follower(state, join.replica)
     if present is not None and present.address == join.address:
         return messages.JoinReply(JOIN_ACCEPTED, own.address, *own)
-    after = joined(state.members, join.replica, join.host, join.address)
+    after = with_learner(state.members, join.replica, join.host, join.address)
     if after is None:
         return messages.JoinReply(JOIN_FULL, own.address, *own)
     replica.change_members(after, now)
--- a/tests/components/dispatch/test_queue.py
+++ b/tests/components/dispatch/test_queue.py
@@ -3,10 +3,10 @@
 from collections import Counter
 
 from bitterntiller.components.dispatch.jobs import Job
-from bitterntiller.components.dispatch.limits import WorkspaceLimiter
 from bitterntiller.components.dispatch.models import PolicyParameters, WorkspaceLimits
 from bitterntiller.components.dispatch.ordering import new_ordering
 from bitterntiller.components.dispatch.queue import PoolQueue
+from bitterntiller.components.dispatch.workspace_limiter import WorkspaceLimiter
 
 from .builders import request
 
@@ -16,7 +16,7 @@
     limiter.set_limits({name: WorkspaceLimits(share=s) for name, s in shares.items()})
     queue = PoolQueue(True, limiter)
     for job in jobs:
-        job.group = (None, frozenset(), 0)
+        job.group_key = (None, frozenset(), 0)
         queue.push(job)
     return queue
 
--- a/tests/components/replication/mutations.py
+++ b/tests/components/replication/mutations.py
@@ -10,31 +10,36 @@
     identity,
     leading,
     members,
-    returning,
+    startup_check,
 )
 from bitterntiller.components.replication.models import (
     AppendReply,
     ReadOutcome,
     VoteReply,
 )
-from bitterntiller.components.replication.state import Outgoing, Role, State, initial
+from bitterntiller.components.replication.state import (
+    Outgoing,
+    Role,
+    State,
+    initial_persistent_state,
+)
 
 from . import explorer, profiles
 
 
 def _unsynced(patch, cls):
-    hold = State.hold
+    send_after_sync = State.send_after_sync
 
     def send_at_once(self, to, message):
         if isinstance(message, cls):
-            self._free.append(Outgoing(to, message))
+            self._ready.append(Outgoing(to, message))
         else:
-            hold(self, to, message)
+            send_after_sync(self, to, message)
 
-    patch.setattr(State, "hold", send_at_once)
+    patch.setattr(State, "send_after_sync", send_at_once)
 
 
-def vote_told_before_sync(patch):
+def vote_reply_before_sync(patch):
     _unsynced(patch, VoteReply)
 
 
@@ -43,13 +48,13 @@
 
 
 def own_entries_count_unsynced(patch):
-    held = leading._held_by_quorum
+    highest = leading._highest_at_quorum
 
     def count(state, own, value_by_replica):
         own = state.log.last_index if own == state.stable else own
-        return held(state, own, value_by_replica)
+        return highest(state, own, value_by_replica)
 
-    patch.setattr(leading, "_held_by_quorum", count)
+    patch.setattr(leading, "_highest_at_quorum", count)
 
 
 def no_term_check(patch):
@@ -73,21 +78,21 @@
 
 
 def no_check_of_previous_entry(patch):
-    def agrees(state, message):
+    def has_previous_entry(state, message):
         return message.prev_index <= state.log.last_index
 
-    patch.setattr(following, "agrees", agrees)
+    patch.setattr(following, "has_previous_entry", has_previous_entry)
 
 
 def late_append_cuts_the_log(patch):
-    take_over = following._take_over
+    append_or_replace = following._append_or_replace
 
     def cut(state, entry):
-        take_over(state, entry)
+        append_or_replace(state, entry)
         if entry.index < state.log.last_index:
             state.truncate_from(entry.index + 1)
 
-    patch.setattr(following, "_take_over", cut)
+    patch.setattr(following, "_append_or_replace", cut)
 
 
 def commits_beyond_what_was_compared(patch):
@@ -123,46 +128,46 @@
 
 
 def reads_without_a_round(patch):
-    def ask_read(state, token):
+    def request_read_index(state, token):
         state.read_outcomes.append(ReadOutcome(token, state.commit))
         return True
 
-    patch.setattr(leading, "ask_read", ask_read)
+    patch.setattr(leading, "request_read_index", request_read_index)
 
 
 def old_identity_votes(patch):
-    def finish_if_enough(state, now):
-        state.returning.done = True
+    def complete_if_sufficient(state, now):
+        state.startup_check.done = True
 
-    patch.setattr(returning, "_finish_if_enough", finish_if_enough)
+    patch.setattr(startup_check, "_complete_if_sufficient", complete_if_sufficient)
 
 
 def old_identity_is_not_recognized_nor_caught_up(patch):
-    patch.setattr(identity, "judge", lambda *args: "fine")
-    finish = identity.ReturnState.finish
+    patch.setattr(identity, "verify_identity", lambda *args: "fine")
+    complete = identity.StartupCheck.complete
 
-    def finish_without_floor(self):
-        finish(self)
-        self.floor = (0, 0)
+    def complete_without_floor(self):
+        complete(self)
+        self.vote_floor = (0, 0)
         return 0
 
-    patch.setattr(identity.ReturnState, "finish", finish_without_floor)
+    patch.setattr(identity.StartupCheck, "complete", complete_without_floor)
 
 
 def lost_disk_keeps_its_identity(patch):
     """Its boot number would give it away too, so that is not compared either."""
-    patch.setattr(core, "is_of_earlier_start", lambda state, message: False)
+    patch.setattr(core, "is_from_earlier_boot", lambda state, message: False)
 
     def same_identity(self, node):
-        node.disk = initial(node.disk.replica)
+        node.disk = initial_persistent_state(node.disk.replica)
         node.copies = []
         self.start(node)
 
-    patch.setattr(explorer.World, "new_identity", same_identity)
+    patch.setattr(explorer.Simulation, "new_identity", same_identity)
     old_identity_votes(patch)
 
 
-class Caught(NamedTuple):
+class MutationCase(NamedTuple):
     """Which kind of schedule finds a broken guard, from which seed on."""
 
     mutation: Callable
@@ -170,17 +175,17 @@
     seed: int
 
 
-FOUND_BY_CHANCE = (
-    Caught(no_term_check, profiles.DEPOSED, 19),
-    Caught(two_votes_in_a_term, profiles.MIXED, 1),
-    Caught(votes_for_any_log, profiles.MIXED, 0),
-    Caught(half_is_a_quorum, profiles.MIXED, 0),
-    Caught(no_check_of_previous_entry, profiles.MIXED, 0),
-    Caught(late_append_cuts_the_log, profiles.MIXED, 1),
-    Caught(commits_beyond_what_was_compared, profiles.MIXED, 16),
-    Caught(installs_stale_snapshots, profiles.SNAPSHOTS, 110),
-    Caught(changes_members_while_one_is_open, profiles.CHANGES, 24),
-    Caught(reads_without_a_round, profiles.MIXED, 0),
-    Caught(old_identity_votes, profiles.COPIES, 6),
-    Caught(old_identity_is_not_recognized_nor_caught_up, profiles.COPIES, 10),
+RANDOM_SEARCH_CASES = (
+    MutationCase(no_term_check, profiles.DEPOSED, 19),
+    MutationCase(two_votes_in_a_term, profiles.MIXED, 1),
+    MutationCase(votes_for_any_log, profiles.MIXED, 0),
+    MutationCase(half_is_a_quorum, profiles.MIXED, 0),
+    MutationCase(no_check_of_previous_entry, profiles.MIXED, 0),
+    MutationCase(late_append_cuts_the_log, profiles.MIXED, 1),
+    MutationCase(commits_beyond_what_was_compared, profiles.MIXED, 16),
+    MutationCase(installs_stale_snapshots, profiles.SNAPSHOTS, 110),
+    MutationCase(changes_members_while_one_is_open, profiles.CHANGES, 24),
+    MutationCase(reads_without_a_round, profiles.MIXED, 0),
+    MutationCase(old_identity_votes, profiles.COPIES, 6),
+    MutationCase(old_identity_is_not_recognized_nor_caught_up, profiles.COPIES, 10),
 )
--- a/tests/components/replication/test_automatic.py
+++ b/tests/components/replication/test_automatic.py
@@ -2,40 +2,40 @@
 
 import pytest
 
-from bitterntiller.components.replication import join_decisions, repair
+from bitterntiller.components.replication import join_decisions, repair_decisions
 from bitterntiller.components.replication.members import voters
 from bitterntiller.components.replication.models import Member, Tuning
 from bitterntiller.components.replication.progress import Progress
 from bitterntiller.protocol import messages
 
-from .script import elect, settle, world_of
+from .script import elect, make_simulation, settle
 
-AUTOMATIC = Tuning(trailing=2, voters=3, silent_voter=2.0)
+AUTOMATIC = Tuning(trailing_entries=2, target_voters=3, silent_voter_timeout=2.0)
 
 
-def led_world(hosts: str, voters_wanted: int):
-    world = world_of(hosts)
-    assert elect(world, hosts[0], hosts)
-    settle(world, hosts)
-    state = world.nodes[hosts[0]].replica.state
-    state.tuning = AUTOMATIC._replace(voters=voters_wanted)
-    return world, state
+def led_simulation(hosts: str, voters_wanted: int):
+    simulation = make_simulation(hosts)
+    assert elect(simulation, hosts[0], hosts)
+    settle(simulation, hosts)
+    state = simulation.nodes[hosts[0]].replica.state
+    state.tuning = AUTOMATIC._replace(target_voters=voters_wanted)
+    return simulation, state
 
 
-def add_learner(state, now: float, contact: float) -> Member:
+def add_learner(state, now: float, last_contact: float) -> Member:
     learner = Member("z/1", "z", "z", False)
     state.members = state.members._replace(all=(*state.members.all, learner))
-    progress = Progress(1, contact, match=state.log.last_index, counted=True)
+    progress = Progress(1, last_contact, match=state.log.last_index, counted=True)
     state.progress_by_replica["z/1"] = progress
     return learner
 
 
 def test_host_that_joins_becomes_a_voter_up_to_the_number():
     """Five hosts of control bear one loss only, since three of them vote."""
-    world, state = led_world("abc", 5)
-    now = world.nodes["a"].clock
+    simulation, state = led_simulation("abc", 5)
+    now = simulation.nodes["a"].clock
     add_learner(state, now, now)
-    step = repair.next_step(state, [], now)
+    step = repair_decisions.next_membership(state, [], now)
     assert [m.replica for m in step if m.voter][-1] == "z/1"
 
 
@@ -44,13 +44,13 @@
 
     The next two losses then leave no majority.
     """
-    world, state = led_world("abc", 3)
-    now = world.nodes["a"].clock
+    simulation, state = led_simulation("abc", 3)
+    now = simulation.nodes["a"].clock
     add_learner(state, now + 3, now + 3)
     for replica, progress in state.progress_by_replica.items():
         if replica.startswith("b/"):
-            progress.contact = now + 3
-    step = repair.next_step(state, [], now + 3)
+            progress.last_contact = now + 3
+    step = repair_decisions.next_membership(state, [], now + 3)
     assert step is not None
     assert not any(member.host == "c" for member in step)
     assert next(m for m in step if m.host == "z").promote
@@ -58,20 +58,20 @@
 
 
 def test_voter_that_answers_keeps_its_place():
-    world, state = led_world("abc", 3)
-    now = world.nodes["a"].clock
+    simulation, state = led_simulation("abc", 3)
+    now = simulation.nodes["a"].clock
     add_learner(state, now, now)
     for progress in state.progress_by_replica.values():
-        progress.contact = now
-    assert repair.next_step(state, [], now) is None
+        progress.last_contact = now
+    assert repair_decisions.next_membership(state, [], now) is None
     assert len(voters(state.members)) == 3
 
 
 def test_without_a_number_no_voter_is_replaced():
-    world, state = led_world("abc", 0)
-    now = world.nodes["a"].clock
+    simulation, state = led_simulation("abc", 0)
+    now = simulation.nodes["a"].clock
     add_learner(state, now + 60, now + 60)
-    assert repair.next_step(state, [], now + 60) is None
+    assert repair_decisions.next_membership(state, [], now + 60) is None
 
 
 def reply(host: str, status: str = "fresh") -> messages.JoinReply:
