--- a/bitterntiller/components/control/__init__.py
+++ b/bitterntiller/components/control/__init__.py
@@ -1,4 +1,4 @@
-"""Control: configuration, owners of pools and claims, kept by a replicated log."""
+"""Control plane: configuration, pool owners and claims in a replicated log."""
 
 from collections.abc import Awaitable, Callable
 
@@ -10,7 +10,7 @@
 from bitterntiller.core.runtime import Runtime
 
 OpenLog = Callable[[Runtime, StateMachine], Awaitable[ReplicatedLog]]
-"""Opens the log, replays it into the state machine and lets it run."""
+"""Opens the log, replays it into the state machine and starts replication."""
 
 
 async def async_setup(
@@ -19,11 +19,11 @@
     parse: ParseConfig = parse_config,
     assigns_owners: bool = True,
 ) -> ControlCoordinator:
-    """Open the log and answer nodes and operators until the process unloads.
+    """Open the log and serve nodes and operators until the process unloads.
 
-    parse reads the documents of configurations. assigns tells whether control gives
-    pools to owners.
-    Raise TimingsError for timings that would break the promise of leases.
+    parse validates and parses configuration documents. assigns_owners selects
+    whether control assigns pools to owners.
+    Raise TimingsError for timings under which a lease could outlast its replacement.
     """
     check_timings(runtime.settings.timings)
     state = ControlState()
--- a/bitterntiller/components/control/claims.py
+++ b/bitterntiller/components/control/claims.py
@@ -22,14 +22,14 @@
 
 
 class ClaimsState:
-    """Claims by key, the oldest first."""
+    """The claims by key, oldest first."""
 
     def __init__(self) -> None:
         self.records_by_key: dict[ClaimKey, ClaimRecord] = {}
         self._count_by_workspace: Counter[str] = Counter()
 
     def apply(self, claim: Any, time_ms: int) -> Any:
-        """Carry out a messages.Claim and return its messages.ClaimReply."""
+        """Apply a messages.Claim and return its messages.ClaimReply."""
         if claim.action == ACTION_TAKE:
             return self._take(claim, time_ms)
         if claim.action == ACTION_FINISH:
@@ -39,11 +39,11 @@
         return self.find(claim)
 
     def record(self, claim: Any) -> ClaimRecord | None:
-        """Return the record of a messages.Claim's key, None without one."""
+        """Return the record under a messages.Claim's key, None if there is none."""
         return self.records_by_key.get(_key(claim))
 
     def find(self, claim: Any) -> Any:
-        """Return what is known of a key, without a change."""
+        """Return the state of a key without changing it."""
         record = self.records_by_key.get(_key(claim))
         if record is None:
             return claim_reply(CLAIM_ABSENT)
@@ -61,10 +61,10 @@
             return self._take_new(key, claim, time_ms)
         if record.digest != claim.digest:
             return claim_reply(CLAIM_MISMATCH)
-        # The holder's own message again, after its reply was lost. A voided one
-        # stays voided: the holder has said not-run, so a delayed copy of its
-        # message must not leave the key in use.
-        # Its upstream may be another after an attempt that proved not-run.
+        # The holder repeats its message after the reply was lost. Its upstream may
+        # differ if an earlier attempt provably did not run. A voided claim stays
+        # voided: the holder reported that the request did not run, so a delayed copy
+        # of its message must not mark the key as in use.
         if held and record.state == CLAIM_RUNNING:
             record = record._replace(upstream=claim.upstream, address=claim.address)
             self.records_by_key[key] = record
@@ -95,10 +95,10 @@
         return claim_reply(CLAIM_FINISHED, record)
 
     def _void(self, claim: Any, time_ms: int) -> Any:
-        """Void a claim, or one that may yet arrive, by its own holder only.
+        """Void a claim for its holder, also before the claim itself has arrived.
 
-        Were another host to void it, a third copy of the key could be sent
-        while the holder's request runs.
+        Only the holder may void it: if another host could, a further copy of the
+        request could be sent while the holder's request runs.
         """
         key = _key(claim)
         record = self.records_by_key.get(key)
@@ -120,7 +120,7 @@
         return self._count_by_workspace[workspace] >= MAX_CLAIMS_PER_WORKSPACE
 
     def _insert(self, key: ClaimKey, record: ClaimRecord) -> None:
-        """Put a record in as the newest, so that the order is that of age."""
+        """Insert a record as the newest, which keeps the records ordered by age."""
         if key in self.records_by_key:
             self._drop(key)
         self.records_by_key[key] = record
@@ -133,7 +133,7 @@
             del self._count_by_workspace[key.workspace]
 
     def expire(self, before_ms: int) -> None:
-        """Drop the claims taken before a cluster time."""
+        """Drop the claims taken before a cluster time in milliseconds."""
         while self.records_by_key:
             key, record = next(iter(self.records_by_key.items()))
             if record.time_ms >= before_ms:
@@ -141,11 +141,11 @@
             self._drop(key)
 
     def to_document(self) -> dict[str, Any]:
-        """Return the whole state for a snapshot."""
+        """Return the state as a JSON document for a snapshot."""
         return {"claims": [[*key, *rec] for key, rec in self.records_by_key.items()]}
 
     def from_document(self, document: dict[str, Any]) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state with that of a snapshot."""
         self.records_by_key = {
             ClaimKey(*row[:2]): ClaimRecord(*row[2:]) for row in document["claims"]
         }
@@ -155,7 +155,7 @@
 def claim_reply(
     status: str, record: ClaimRecord | None = None, leader: str = ""
 ) -> Any:
-    """Return a messages.ClaimReply with what is known of the claim."""
+    """Return a messages.ClaimReply with the details of a claim, if there is one."""
     return messages.ClaimReply(
         status=status,
         leader=leader,
--- a/bitterntiller/components/control/configuration.py
+++ b/bitterntiller/components/control/configuration.py
@@ -1,4 +1,4 @@
-"""The versions of the configuration and the outcomes of changes."""
+"""The versions of the configuration and the outcomes of changes to it."""
 
 import hashlib
 import json
@@ -19,14 +19,17 @@
 
 
 class Patch(NamedTuple):
-    """What leads from the version before to this one; data None: no patch can."""
+    """The merge patch that leads from the previous version to this one.
+
+    data is None if no merge patch can express the difference.
+    """
 
     version: int
     data: bytes | None
 
 
 class ConfigurationState:
-    """The newest configuration; part of the replicated state."""
+    """The latest configuration; part of the replicated state."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -39,15 +42,15 @@
 
     @property
     def document(self) -> dict[str, Any]:
-        """The newest configuration as a JSON document; not to be changed."""
+        """The latest configuration as a JSON document; callers must not modify it."""
         return self._document
 
     def apply(self, change: Any, time_ms: int) -> Any:
         """Decide a messages.Change and return its messages.ChangeReply.
 
-        A change that is sent again hears its first outcome: the loss of the
-        first answer must not make an operator's change happen twice, nor make
-        it look refused because of itself or of a later change.
+        A repeated change gets its first outcome. If the first reply was lost, the
+        change must neither be applied twice nor be reported as a conflict with itself
+        or with a later change.
         """
         if change.number is not None:
             return self._apply_numbered(change)
@@ -63,11 +66,11 @@
         return _reply(STATUS_ACCEPTED, self.version)
 
     def _apply_numbered(self, change: Any) -> Any:
-        """Put the highest of the operator's own numbers in force.
+        """Apply a change that the operator numbers, if its number is the highest yet.
 
-        One that is not higher is acknowledged all the same and changes nothing: it is
-        a repetition, or has been overtaken. Nothing need be remembered of it, and
-        other content under a number that is held never comes into force.
+        A change whose number is not higher is acknowledged without effect: it is a
+        repetition or was superseded. Its outcome need not be stored, and different
+        content under the current number is never applied.
         """
         if change.number > self.number:
             self.number = change.number
@@ -75,10 +78,11 @@
         return _reply(STATUS_ACCEPTED, self.version)
 
     def _reject(self, change: Any, digest: str, time_ms: int) -> Any:
-        """Refuse a change against another version than the present one.
+        """Reject a change whose base is not the current version.
 
-        When an outcome for the same base version was dropped, this id may have
-        been among them, so that conflict could contradict an earlier accepted.
+        If an outcome for the same base version was dropped, it may have been that of
+        this change id; conflict could then contradict an earlier accepted, so the
+        status is expired-id.
         """
         if change.base_version <= self._forgotten_base:
             text = "outcomes of changes as old as this are no longer kept"
@@ -104,7 +108,7 @@
             self._drop_oldest()
 
     def expire(self, before_ms: int) -> None:
-        """Drop the outcomes recorded before a cluster time."""
+        """Drop the outcomes recorded before a cluster time in milliseconds."""
         while self.outcomes_by_id:
             oldest = next(iter(self.outcomes_by_id.values()))
             if oldest.time_ms >= before_ms:
@@ -118,9 +122,9 @@
         self._forgotten_base = max(self._forgotten_base, base)
 
     def patches_since(self, version: int) -> list[Patch] | None:
-        """Return the patches that lead from a version to the newest.
+        """Return the patches that lead from a version to the latest.
 
-        None when they are no longer kept, or longer than the whole.
+        None if they are no longer kept, or are not smaller than the whole document.
         """
         if not 0 <= version <= self.version:
             return None
@@ -134,7 +138,7 @@
         return wanted
 
     def to_document(self) -> dict[str, Any]:
-        """Return the whole state for a snapshot."""
+        """Return the state as a JSON document for a snapshot."""
         return {
             "version": self.version,
             "number": self.number,
@@ -144,7 +148,7 @@
         }
 
     def from_document(self, document: dict[str, Any]) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state with that of a snapshot."""
         self.version = document["version"]
         self.number = document.get("number", 0)
         self._document = document["document"]
@@ -158,7 +162,7 @@
 
 
 def canonical_json(document: dict[str, Any]) -> bytes:
-    """Return the bytes in which a document is kept and sent to nodes."""
+    """Return a document in the encoding that is stored and sent to nodes."""
     return json.dumps(document, separators=(",", ":")).encode()
 
 
--- a/bitterntiller/components/control/confirm.py
+++ b/bitterntiller/components/control/confirm.py
@@ -1,4 +1,4 @@
-"""One confirmation of leadership for all heartbeats that wait for one."""
+"""Confirmation of leadership, shared by all callers that wait for one."""
 
 import curio
 
@@ -12,12 +12,12 @@
 
 
 class ConfirmationBatcher:
-    """Shares confirmations between those who ask at about the same time.
+    """Batches the confirmations of callers that ask at about the same time.
 
-    A caller gets the result of a confirmation that began after it asked. One
-    that was already under way may have begun before its heartbeat was sent,
-    and so before a change was committed that the node must hear of; with it a
-    lease could outlive the promise that the change is in force.
+    A caller gets the result of a confirmation that began after its call. One that was
+    already in progress may have begun before the caller's heartbeat was sent, and so
+    before the commit of a change that the node has to receive; a lease granted by it
+    could run past the time by which the change is guaranteed to be in force.
     """
 
     def __init__(self, log: ReplicatedLog, timeout: float) -> None:
@@ -28,14 +28,14 @@
         self.rounds = 0
 
     async def async_confirm(self) -> int | None:
-        """Return the index confirmed since this call, None without a quorum."""
+        """Return the log index confirmed after this call, None without a quorum."""
         waiting_for = self._next
         await self._wanted.set()
         await waiting_for.done.wait()
         return waiting_for.index
 
     async def async_run(self) -> None:
-        """Carry out one confirmation after the other while any is wanted."""
+        """Run confirmations, one at a time, while callers wait for them."""
         while True:
             await self._wanted.wait()
             self._wanted.clear()
--- a/bitterntiller/components/control/const.py
+++ b/bitterntiller/components/control/const.py
@@ -1,4 +1,4 @@
-"""Names and bounds of the control part."""
+"""Constants of the control plane."""
 
 STATUS_ACCEPTED = "accepted"
 STATUS_CONFLICT = "conflict"
@@ -28,7 +28,7 @@
 ROLE_DISPATCH = "dispatch"
 
 MAX_CHANGE_IDS = 20_000
-"""Outcomes of changes that are kept, besides their age."""
+"""Upper bound on stored outcomes of changes; they also expire by age."""
 
 UPSTREAM_READY = "ready"
 UPSTREAM_LEAVING = "leaving"
@@ -36,80 +36,81 @@
 UPSTREAM_GONE = "gone"
 
 UNSPECIFIED_INCARNATION = -1
-"""Stands for the incarnation of a departure that does not say whose it is."""
+"""Incarnation of a departure that does not state which incarnation has left."""
 
 ALL_INCARNATIONS = 2**62
-"""Stands for an incarnation that is higher than any: all of that name are gone."""
+"""Higher than any incarnation: marks all incarnations under a name as gone."""
 
 MAX_UPSTREAMS = 8192
-"""Upstreams that are registered at once; more are turned away.
+"""Upstreams registered at the same time; further ones are rejected.
 
-Each takes some 0.3 kB in the log, in each snapshot and at each host, and a faulty
-sender of announcements could name new ones without end.
+Each takes about 0.3 kB in the log, in each snapshot and on each host, and a faulty
+sender of announcements could invent new names without limit.
 """
 
 MAX_GONE_UPSTREAMS = 4096
-"""Names of upstreams remembered as gone; a late announcement revives none of them.
+"""Names of gone upstreams kept so that a late announcement can't register them again.
 
-A fleet of 600 that is replaced whole once an hour fills it in seven hours, while an
-announcement is delayed by seconds.
+A fleet of 600 that is completely replaced every hour fills this in seven hours, while
+announcements are delayed by seconds.
 """
 
 MAX_CLAIMS = 100_000
 MAX_CLAIMS_PER_WORKSPACE = 50_000
-"""Claims that are kept; one workspace can't use up the room of all."""
+"""Claims that are stored; one workspace can't use the whole capacity."""
 
 MAX_PATCHES = 64
-"""Newest changes kept as patches; a node further behind gets the whole."""
+"""Latest changes kept as patches; a node further behind gets the whole document."""
 
 TICK = 0.25
-"""Seconds between two looks at sessions and owners."""
+"""Seconds between two checks of sessions and owners."""
 
 TIME_STAMP_INTERVAL = 600.0
-"""Seconds after which the leader commits the time though nothing else happens."""
+"""Seconds without other commands after which the leader commits the cluster time."""
 
 LEADER_WAIT = 0.4
-"""Seconds for which a heartbeat waits here while no leader is known.
+"""Seconds that a heartbeat is held on this host while no leader is known.
 
-A host that lost its lease hears of the new leader at once, without asking so often that
-many hosts would keep control busy. Shorter than the host waits for its answer.
+A host that lost its lease thus learns of a new leader at once, without polling at a
+rate that would load control when there are many hosts. Shorter than the host's reply
+timeout.
 """
 
 CONFIRM_TIMEOUT = 0.5
 PROPOSE_TIMEOUT = 1.5
-"""Seconds; both end before the caller's link_call timeout."""
+"""Seconds; both are shorter than the caller's link_call timeout."""
 
 MAX_REPLACED_INCARNATIONS = 4
-"""Incarnations of a host that are remembered as replaced."""
+"""Replaced incarnations that are kept for each host."""
 
 HEARTBEATS_PER_SECOND = 400
-"""Heartbeats that one leader asks for at most; many nodes send them more rarely."""
+"""Most heartbeats for one leader; with many nodes, each sends them less often."""
 
 NEW_HOST_HEARTBEAT_INTERVAL = 0.1
-"""Seconds from the first heartbeat of a host that had no lease to its second one."""
+"""Seconds between the first and second heartbeat of a host without a lease."""
 
 MIN_HEARTBEATS_PER_LEASE = 3
-"""Heartbeats in a lease at least, so that a lost one does not end the lease."""
+"""Minimum, so that the loss of one heartbeat does not end the lease."""
 
 SESSION_TIMEOUT = 60.0
-"""Seconds after which a silent host is no longer in the directory."""
+"""Seconds without heartbeats after which a host is removed from the directory."""
 
 LARGE_CONFIG_BYTES = 16 * 1024
-"""A larger configuration is checked in a thread."""
+"""A larger configuration is validated in a thread."""
 
 MAX_CONFIG_BYTES = 1024 * 1024
-"""Of a configuration as it is kept; a quarter of what a frame of links holds.
+"""Size limit of a stored configuration; a quarter of the frame size of links.
 
-Were one accepted that no frame can carry, no node could get it, and all of them
-would lose their leases.
+A configuration that does not fit a frame could reach no node, and all nodes would
+lose their leases.
 """
 MAX_ID_LENGTH = 128
 
 CONCURRENT_CLAIM_GROUPS = 4
-"""Groups of claims that may wait for their commit at once."""
+"""Groups of claims that can be committed concurrently."""
 
 MAX_WAITING_CLAIMS = 4096
-"""Claims that may wait for room in a group; more are turned away at once."""
+"""Claims that may wait for a place in a group; further ones are rejected."""
 
 MAX_CLAIMS_PER_GROUP = 256
-"""Claims in one command of the log."""
+"""Maximum number of claims in one command of the log."""
--- a/bitterntiller/components/control/coordinator.py
+++ b/bitterntiller/components/control/coordinator.py
@@ -1,4 +1,4 @@
-"""The leader's side of control: answers to nodes and operators."""
+"""The leader of control: replies to nodes and operators."""
 
 import json
 from typing import Any
@@ -40,9 +40,9 @@
 
 
 class ControlCoordinator:
-    """Answers as leader; as another replica it names the leader.
+    """Serves requests as leader; other replicas reply with the leader's address.
 
-    With assigns False it gives pools to nobody: entry hosts choose their owners.
+    With assigns_owners False it assigns no pools: entry hosts choose the owners.
     """
 
     def __init__(
@@ -76,9 +76,9 @@
         )
 
     async def async_start(self, tick: bool = True) -> None:
-        """Begin to answer, until the process unloads.
+        """Start to serve requests, until the process unloads.
 
-        Without tick, pools are placed only by a call of async_place.
+        Without tick, pools are assigned only by calls of async_place.
         """
         handlers = {
             messages.Heartbeat: self.async_heartbeat,
@@ -101,18 +101,21 @@
             self._runtime.stack.callback(self._runtime.links.handle(cls, handler))
 
     async def async_hand_over(self) -> None:
-        """Have another host lead control before this one stops.
+        """Transfer leadership to another host before this one stops.
 
-        It waits for no longer than an election would take without.
+        Wait no longer than an election without a transfer would take.
         """
         if not self._log.is_leader():
             return
-        handed = await self._log.async_hand_over(self._timings.election_min)
-        logging.info("control %s handed over", "was" if handed else "was not")
-        events.emit("handed-over", done=handed, leader=self._log.leader())
+        transferred = await self._log.async_hand_over(self._timings.election_min)
+        logging.info(
+            "leadership transfer of control %s",
+            "completed" if transferred else "failed",
+        )
+        events.emit("handed-over", done=transferred, leader=self._log.leader())
 
     def leader_term(self) -> LeaderTerm | None:
-        """Return the memory of the present term, None when not the leader."""
+        """Return the state of the current term, None if not the leader."""
         if not self._log.is_leader():
             return None
         term = int(self._log.status()["term"])
@@ -120,12 +123,12 @@
             now = self._clock.now()
             self._term = LeaderTerm(term, now, self.state, self._timings)
             self._runtime.metrics.count("control.takeover")
-            logging.info("leading control in term %d", term)
+            logging.info("became leader of control in term %d", term)
             events.emit("leading", term=term, applied=self.state.applied)
         return self._term
 
     async def _async_confirmed_term(self) -> LeaderTerm | None:
-        """Return the term in which a quorum confirmed the lead after this call."""
+        """Return the current term if a quorum confirms leadership after this call."""
         term = self.leader_term()
         if term is None or await self._confirm.async_confirm() is None:
             return None
@@ -139,7 +142,7 @@
         return await self._async_confirmed_term() is not None
 
     async def async_heartbeat(self, sender: str, heartbeat: Any) -> Any:
-        """Answer a messages.Heartbeat, with a lease when the lead is confirmed."""
+        """Reply to a messages.Heartbeat, with a lease once leadership is confirmed."""
         if not self._log.leader():
             await self._log.async_leader_known(LEADER_WAIT)
         term = self.leader_term()
@@ -150,11 +153,11 @@
             return self._reject_heartbeat(STATUS_UNKNOWN_HOST)
         term.sessions.record_grant(session)
         if term.directory.is_missing(session):
-            # Told at the next look only, owners would be unknown for as long after a
-            # loss of all hosts, and requests wait for them.
+            # Waiting for the next tick would leave owners unknown for that long after a
+            # restart of all hosts, while requests wait for them.
             term.rebuild_directory(session.last_heartbeat_at)
-        # Should the confirmation be that of a later term of this replica, the
-        # lease still began before that term, which waits out all that did.
+        # The confirmation may belong to a later term of this replica. That is safe: the
+        # lease began before that term, and a new term waits until such leases end.
         if await self._confirm.async_confirm() is None:
             return self._reject_heartbeat(STATUS_NOT_LEADER)
         self._runtime.metrics.count("control.heartbeat.granted")
@@ -166,10 +169,10 @@
         return rejected_reply(status, self._log.leader())
 
     async def async_change(self, sender: str, change: Any) -> Any:
-        """Answer a messages.Change; accepted only once it is committed."""
+        """Reply to a messages.Change; accepted only once it is committed."""
         if self.leader_term() is None:
             return self._change_reply(STATUS_NOT_LEADER)
-        # What was decided stays so, also if the checks have become stricter.
+        # A decided change keeps its outcome, even if validation has become stricter.
         numbered = change.number is not None
         if numbered or change.change_id not in self.state.configuration.outcomes_by_id:
             fault = await self._async_find_change_error(change)
@@ -205,7 +208,7 @@
         )
 
     async def async_get_config(self, sender: str, request: Any) -> Any:
-        """Answer a messages.GetConfig with the newest accepted configuration."""
+        """Reply to a messages.GetConfig with the latest accepted configuration."""
         if await self._async_confirmed_term() is None:
             return messages.ConfigReply(status=STATUS_NOT_LEADER, version=0, config=b"")
         configuration = self.state.configuration
@@ -214,11 +217,11 @@
         )
 
     async def async_register_upstream(self, sender: str, request: Any) -> Any:
-        """Answer a messages.RegisterUpstream; ok only once what is new is committed.
+        """Reply to a messages.RegisterUpstream; ok only once a change is committed.
 
-        An upstream that was told ok stops counting on the work that was under way to
-        it; were its leaving kept in memory only, the death of this process would
-        have the others send it work again.
+        After ok, a leaving upstream no longer expects requests that were on their way.
+        If its departure were only in memory and this process died, other hosts would
+        send it requests again.
         """
         term = self.leader_term()
         if term is None:
@@ -227,19 +230,21 @@
         if not self.state.upstreams.has_room_for(request.upstream.name):
             self._runtime.metrics.count(f"control.register_upstream.{STATUS_FULL}")
             return self._register_reply(STATUS_FULL)
-        news = term.registrar.record_announcement(request.upstream, now)
-        if not news:
+        changed = term.registrar.record_announcement(request.upstream, now)
+        if not changed:
             return self._register_reply(STATUS_OK)
         proposed = await self._proposer.async_propose(
-            upstreams=news, settle_versions=self._ordered_versions_only
+            upstreams=changed, settle_versions=self._ordered_versions_only
         )
         status = STATUS_OK if proposed.result is not None else proposed.status
         self._runtime.metrics.count(f"control.register_upstream.{status}")
         events.emit(
             "upstream",
             status=status,
-            states={item.name: item.state for item in news},
-            software={item.name: item.labels.get(LABEL_VERSION, "") for item in news},
+            states={item.name: item.state for item in changed},
+            software={
+                item.name: item.labels.get(LABEL_VERSION, "") for item in changed
+            },
             version=self.state.upstreams.version,
         )
         return self._register_reply(status)
@@ -249,7 +254,7 @@
         return messages.RegisterUpstreamReply(status=status, leader=leader)
 
     async def async_claim(self, sender: str, claim: Any) -> Any:
-        """Answer a messages.Claim; taken only once it is committed."""
+        """Reply to a messages.Claim; taken only once it is committed."""
         term = self.leader_term()
         if term is None:
             return claim_reply(STATUS_NOT_LEADER, leader=self._log.leader())
@@ -272,7 +277,7 @@
         return reply
 
     async def async_release_pools(self, sender: str, release: Any) -> Any:
-        """Answer a messages.ReleasePools of an owner that has stopped to act."""
+        """Reply to a messages.ReleasePools of an owner that has stopped acting."""
         term = self.leader_term()
         if term is None:
             return self._release_reply(STATUS_NOT_LEADER)
@@ -287,7 +292,7 @@
         return messages.ReleasePoolsReply(status=status, leader=self._log.leader())
 
     async def async_status(self, sender: str, request: Any) -> Any:
-        """Answer a messages.ControlStatus with a JSON document."""
+        """Reply to a messages.ControlStatus with a JSON document."""
         term = await self._async_confirmed_term()
         document = json.dumps(self.describe()).encode()
         return messages.ControlStatusReply(
@@ -297,7 +302,7 @@
         )
 
     def describe(self) -> dict[str, Any]:
-        """Return this part's share of the dump."""
+        """Return the section of control in the state dump."""
         return diagnostics.describe(
             self._log, self.state, self.leader_term(), self._timings, self._clock.now()
         )
@@ -319,7 +324,7 @@
             await self._async_stamp_time()
 
     async def async_place(self) -> None:
-        """Assign pools whose owner is gone, and renew the directory."""
+        """Assign pools without an owner that can act, and update the directory."""
         term = self.leader_term()
         if term is None:
             return
@@ -334,20 +339,20 @@
             self._runtime.metrics.count("control.directory.changed")
 
     async def _async_commit_silence_changes(self) -> None:
-        """Commit which upstreams have fallen silent, and which are long gone."""
+        """Commit which upstreams have become silent or have been silent long enough."""
         term = self.leader_term()
         if term is None:
             return
-        news = term.registrar.silence_changes(self._clock.now())
-        if news:
-            states = {item.name: item.state for item in news}
+        changed = term.registrar.silence_changes(self._clock.now())
+        if changed:
+            states = {item.name: item.state for item in changed}
             events.emit("upstream-silent", states=states, term=term.term)
             await self._proposer.async_propose(
-                upstreams=news, settle_versions=self._ordered_versions_only
+                upstreams=changed, settle_versions=self._ordered_versions_only
             )
 
     async def _async_stamp_time(self) -> None:
-        """Commit the time now and then, so that a new leader counts on from it."""
+        """Commit the cluster time regularly, so that a new leader continues from it."""
         term = self.leader_term()
         if term is None:
             return
--- a/bitterntiller/components/control/diagnostics.py
+++ b/bitterntiller/components/control/diagnostics.py
@@ -1,4 +1,4 @@
-"""The share of control in the dump of a process's state."""
+"""The section of control in the state dump of a process."""
 
 from typing import Any
 
@@ -15,7 +15,7 @@
     timings: Timings,
     now: float,
 ) -> dict[str, Any]:
-    """Return the state of the log, of the replica, and of the leader."""
+    """Return the state of the log, of this replica and, on the leader, of its term."""
     document: dict[str, Any] = {
         "log": dict(log.status()),
         "state": _describe_state(state),
--- a/bitterntiller/components/control/directory.py
+++ b/bitterntiller/components/control/directory.py
@@ -1,4 +1,4 @@
-"""The directory that a leader sends: hosts from sessions, owners from the log."""
+"""The directory sent by a leader: hosts from its sessions, owners from the log."""
 
 from typing import Any
 
@@ -9,10 +9,10 @@
 
 
 class DirectoryBuilder:
-    """Keeps the present directory and numbers its versions.
+    """Builds the current directory and numbers its versions.
 
-    A version begins with the term of the leader, so that the directory of a new
-    leader goes before that of the last, though it counts from the beginning.
+    The high bits of a version are the leader's term. The directory of a new leader
+    therefore supersedes that of the previous one, although its count starts over.
     """
 
     def __init__(self, term: int) -> None:
@@ -24,7 +24,7 @@
         )
 
     def is_missing(self, session: Session) -> bool:
-        """Tell whether the directory does not hold a process yet."""
+        """Return whether the directory does not list the process of a session yet."""
         return self._incarnation_by_host.get(session.host) != session.incarnation
 
     def rebuild(
@@ -33,10 +33,10 @@
         owners_by_pool: dict[str, Owner],
         partial: bool,
     ) -> bool:
-        """Build the directory anew; tell whether it differs from the last.
+        """Rebuild the directory; return whether it differs from the last one.
 
-        partial is set while a new leader may not yet have heard all hosts;
-        nodes then keep the hosts that are lacking.
+        partial is set while a new leader may not have received heartbeats of all
+        hosts yet; nodes then keep the hosts that are missing from the directory.
         """
         hosts = sorted(
             (item.host, item.address, item.zone, item.incarnation, item.roles)
--- a/bitterntiller/components/control/errors.py
+++ b/bitterntiller/components/control/errors.py
@@ -1,9 +1,9 @@
-"""Errors of the control part."""
+"""Errors of the control plane."""
 
 from bitterntiller.core.errors import CodedError
 
 
 class TimingsError(CodedError):
-    """Raised for timings under which a lease could outlive its replacement."""
+    """Raised for timings under which an owner's lease could outlast its replacement."""
 
     code = "timings"
--- a/bitterntiller/components/control/heartbeats.py
+++ b/bitterntiller/components/control/heartbeats.py
@@ -1,4 +1,4 @@
-"""Answers to heartbeats: the lease, what is new, and when to send the next."""
+"""Replies to heartbeats: lease, updates, and the interval to the next heartbeat."""
 
 from typing import Any
 
@@ -17,13 +17,13 @@
 def granted_reply(
     heartbeat: Any, term: LeaderTerm, state: ControlState, timings: Timings, leader: str
 ) -> Any:
-    """Return the reply that grants a lease; to be called after a confirmation.
+    """Return the reply that grants a lease; call it after confirming leadership.
 
-    It carries the newest configuration that is committed here. Every change
-    accepted before the heartbeat was sent is in it, because the leadership was
-    confirmed after the heartbeat came. So a node that still works under an
-    older version sent its last successful heartbeat before the change was
-    accepted, and its lease ends one lease after that.
+    The reply carries the latest configuration committed on this replica. It contains
+    every change accepted before the heartbeat was sent, because leadership was
+    confirmed after the heartbeat arrived. A node that still uses an older version
+    therefore sent its last successful heartbeat before the change was accepted, and
+    its lease ends one lease duration after that.
     """
     configuration = state.configuration
     reply = messages.HeartbeatReply(
@@ -63,8 +63,9 @@
 def _next_interval(heartbeat: Any, term: LeaderTerm, timings: Timings) -> float:
     """Return the seconds until the next heartbeat, fewer for a host without a lease.
 
-    After a loss of all hosts the first ones to be heard get a list that lacks the
-    others; told of them only a whole period later, they would take other owners.
+    After all hosts restart, the first ones to send heartbeats get a directory without
+    the others. If they received the others only a whole interval later, they would
+    choose different owners.
     """
     hosts = len(term.sessions.by_host)
     usual = heartbeat_interval(hosts, timings)
@@ -77,13 +78,13 @@
 
 
 def rejected_reply(status: str, leader: str) -> Any:
-    """Return a reply that grants nothing."""
+    """Return a reply without a lease."""
     return messages.HeartbeatReply(
         status=status, leader=leader, lease_ms=0, config_version=0, term=0
     )
 
 
 def heartbeat_interval(sessions: int, timings: Timings) -> float:
-    """Return the seconds between a node's heartbeats, for a number of nodes."""
+    """Return the seconds between a node's heartbeats for a number of sessions."""
     wanted = max(timings.heartbeat, sessions / HEARTBEATS_PER_SECOND)
     return min(wanted, max(timings.heartbeat, timings.lease / MIN_HEARTBEATS_PER_LEASE))
--- a/bitterntiller/components/control/leader.py
+++ b/bitterntiller/components/control/leader.py
@@ -1,4 +1,4 @@
-"""What one leader keeps in memory for one term."""
+"""The in-memory state of a leader during one term."""
 
 from collections.abc import Iterable
 
@@ -16,9 +16,9 @@
 class LeaderTerm:
     """Sessions, directory and cluster time of a leader; times in seconds.
 
-    Nothing of an earlier leader's memory is taken over, and nothing is assumed
-    to have ended with it: its leases run on, and every owner that it may have
-    heard has a whole owner_lease from the takeover.
+    A new leader does not have the memory of the previous one and must assume that
+    leases granted by it are still valid: every owner may hold its lease for a whole
+    owner_lease after the takeover.
     """
 
     def __init__(
@@ -34,42 +34,41 @@
         self._time_base_ms = state.time_ms
 
     def cluster_ms(self, now: float) -> int:
-        """Return the cluster time in milliseconds, which never goes back."""
+        """Return the cluster time in milliseconds; it never decreases."""
         elapsed_ms = int((now - self.started) * 1000)
         return max(self._state.time_ms, self._time_base_ms + elapsed_ms)
 
     def owner_settle_elapsed(self, now: float) -> bool:
-        """Tell whether most hosts have had the time to be heard."""
+        """Return whether most hosts have had time to send a heartbeat in this term."""
         return now - self.started >= self._timings.owner_settle
 
     def owner_lease_elapsed(self, now: float) -> bool:
-        """Tell whether a host not heard in this term can be taken for silent."""
+        """Return whether a host without a heartbeat in this term counts as silent."""
         return now - self.started >= self._timings.owner_lease
 
     def rebuild_directory(self, now: float) -> bool:
-        """Bring the directory up to date; tell whether it changed."""
+        """Update the directory; return whether it changed."""
         self.sessions.expire(now, SESSION_TIMEOUT)
         partial = not self.owner_lease_elapsed(now)
         owners_by_pool = self._state.ownership.owners_by_pool
         return self.directory.rebuild(self.sessions.by_host, owners_by_pool, partial)
 
     def lease_expired(self, host: str, incarnation: str, now: float) -> bool:
-        """Tell whether a process certainly can't act as an owner any more.
+        """Return whether a process certainly can't act as an owner any more.
 
-        Its lease is counted from the sending of a heartbeat that was granted, so
-        from before the moment at which this or an earlier leader heard it, and
-        is shorter than owner_lease.
+        Its lease is shorter than owner_lease and starts when it sends a heartbeat, so
+        before this or an earlier leader received that heartbeat and granted the lease.
         """
-        ungranted = self.sessions.seconds_since_grant(host, incarnation, now)
-        return ungranted > self._timings.owner_lease
+        elapsed = self.sessions.seconds_since_grant(host, incarnation, now)
+        return elapsed > self._timings.owner_lease
 
     def may_grant(self, session: Session, now: float) -> bool:
-        """Tell whether a process may get a lease.
+        """Return whether a process may get a lease.
 
-        An owner can be heard though it does not get its lease: our answers do
-        not reach it, or its software can't apply the configuration. Its pools
-        would stand still for ever. It is granted nothing until its pools are
-        free for others; then it goes on, as it no longer owns any.
+        Heartbeats of an owner can arrive although it holds no lease: replies do not
+        reach it, or its software can't apply the configuration. Its pools would then
+        be blocked forever. It gets no lease until its pools can be assigned to
+        others; after that it gets leases again, as it no longer owns any pool.
         """
         since = session.unleased_since
         if since is None or now - since <= self._timings.owner_lease:
@@ -79,12 +78,12 @@
         return all((owner.host, owner.incarnation) != process for owner in owners)
 
     def is_holder_dead(self, host: str, incarnation: str, now: float) -> bool:
-        """Tell whether the holder of a claim has died, or must be taken for dead."""
+        """Return whether a claim's holder was replaced or its lease has expired."""
         replaced = self.sessions.is_replaced(host, incarnation)
         return replaced or self.lease_expired(host, incarnation, now)
 
     def plan(self, pools: Iterable[str], now: float) -> list[messages.Assignment]:
-        """Return the assignments of pools that are due."""
+        """Return the pool assignments that are due."""
         if not self.owner_settle_elapsed(now):
             return []
 
@@ -96,9 +95,9 @@
         return plan_assignments(pools, owners_by_pool, hosts, lease_expired)
 
     def in_force_version(self, now: float) -> int | None:
-        """Return the version in force on all nodes that dispatch.
+        """Return the configuration version in force on all nodes with a lease.
 
-        None while a node may still have a lease of an earlier leader.
+        None while a node may still hold a lease from an earlier leader.
         """
         lease = self._timings.lease
         if now - self.started <= lease:
--- a/bitterntiller/components/control/models.py
+++ b/bitterntiller/components/control/models.py
@@ -1,4 +1,4 @@
-"""What control keeps; all times are cluster time in milliseconds."""
+"""Data types of control; times are cluster time in milliseconds unless stated."""
 
 from typing import NamedTuple
 
@@ -6,8 +6,8 @@
 class ChangeOutcome(NamedTuple):
     """The recorded outcome of a change of the configuration.
 
-    digest names the content, so that an id used for other content is noticed.
-    version is the one that the reply carried.
+    digest identifies the content, to detect a change id reused for other content.
+    version is the one in the reply.
     """
 
     status: str
@@ -27,7 +27,7 @@
 
 
 class ClaimKey(NamedTuple):
-    """What names a claim."""
+    """The identity of a claim."""
 
     workspace: str
     key: str
@@ -49,10 +49,10 @@
 
 
 class Session(NamedTuple):
-    """What a leader knows of a process; times in seconds of its clock.
+    """The leader's record of a process; times in seconds of the leader's clock.
 
-    unleased_since is the arrival of the first of the latest heartbeats that all
-    told of no valid lease; None when the last one told of a lease.
+    unleased_since is when the first in the latest run of heartbeats without a valid
+    lease arrived; None if the last heartbeat reported a lease.
     """
 
     host: str
--- a/bitterntiller/components/control/ownership.py
+++ b/bitterntiller/components/control/ownership.py
@@ -1,4 +1,4 @@
-"""The owners of pools; part of the replicated state."""
+"""The pool owners; part of the replicated state."""
 
 from typing import Any
 
@@ -6,17 +6,17 @@
 
 
 class OwnershipState:
-    """Who owns which pool, under which epoch."""
+    """The owner of each pool and the epoch of its ownership."""
 
     def __init__(self) -> None:
         self.owners_by_pool: dict[str, Owner] = {}
 
     def assign(self, index: int, assignments: list[Any]) -> None:
-        """Apply messages.Assignment entries that expect the present epoch.
+        """Apply the messages.Assignment entries that expect the current epoch.
 
-        The epoch is the index of the log entry, which is never used twice. A
-        proposal of an earlier leader may be committed after another owner was
-        settled; the expected epoch keeps it from taking the pool away again.
+        The epoch is the index of the log entry and is never reused. An earlier
+        leader's proposal may be committed after a newer assignment; the expected
+        epoch prevents it from replacing the new owner.
         """
         for assignment in assignments:
             owner = self.owners_by_pool.get(assignment.pool)
@@ -31,7 +31,7 @@
             )
 
     def release(self, release: Any) -> None:
-        """Apply a messages.ReleasePools: only the owner itself can release."""
+        """Apply a messages.ReleasePools; only the owner itself can release a pool."""
         for pool in release.pools:
             owner = self.owners_by_pool.get(pool)
             if owner is None:
@@ -40,11 +40,11 @@
                 del self.owners_by_pool[pool]
 
     def to_document(self) -> dict[str, Any]:
-        """Return the whole state for a snapshot."""
+        """Return the state as a JSON document for a snapshot."""
         return {"owners": self.owners_by_pool}
 
     def from_document(self, document: dict[str, Any]) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state with that of a snapshot."""
         self.owners_by_pool = {
             pool: Owner(*fields) for pool, fields in document["owners"].items()
         }
--- a/bitterntiller/components/control/placement.py
+++ b/bitterntiller/components/control/placement.py
@@ -1,4 +1,4 @@
-"""Which process should own which pool; pure."""
+"""Assignment of pools to processes, without I/O."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable
@@ -17,10 +17,10 @@
 ) -> list[messages.Assignment]:
     """Return the assignments that are due.
 
-    hosts are the sessions that may be given pools. is_gone tells that an owner
-    certainly can't act any more. A pool with an owner that may still act stays
-    where it is, also when hosts come: a move costs its queue a registration
-    of all waiting requests.
+    hosts are the sessions that pools can be assigned to. lease_expired returns whether
+    an owner certainly can't act any more. A pool whose owner may still act is not
+    moved, not even to a new host: after a move, all waiting requests have to be
+    registered again.
     """
     wanted = set(pools)
     kept = {
@@ -43,7 +43,7 @@
 
 
 def _weight(pool: str, host: str) -> int:
-    """Return the rendezvous weight: hosts win pools independently of others."""
+    """Return the rendezvous hash weight, which does not depend on other hosts."""
     return xxhash.xxh3_64_intdigest(f"{pool}\0{host}".encode())
 
 
--- a/bitterntiller/components/control/proposals.py
+++ b/bitterntiller/components/control/proposals.py
@@ -1,4 +1,4 @@
-"""Commands to the replicated log, and how their fate is told."""
+"""Proposals of commands to the replicated log, and their outcomes."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -17,11 +17,14 @@
 from bitterntiller.protocol import decode, encode, messages
 
 CommandMaker = Callable[[], Any]
-"""Returns an empty messages.Command with the present times."""
+"""Returns a messages.Command that has only the current times set."""
 
 
 class CommandOutcome(NamedTuple):
-    """status is committed, not-leader or unknown; result only when committed."""
+    """The outcome of a proposed command.
+
+    status is committed, not-leader or unknown; result is set only for committed.
+    """
 
     status: str
     result: Any
@@ -29,7 +32,7 @@
 
 
 class Proposer:
-    """Puts commands into the log; claims that come together share a command."""
+    """Proposes commands to the log; concurrent claims share a command."""
 
     def __init__(self, log: ReplicatedLog, make_command: CommandMaker) -> None:
         self._log = log
@@ -37,7 +40,7 @@
         self._waiting: curio.Queue = curio.Queue()
 
     async def async_propose(self, **content: Any) -> CommandOutcome:
-        """Propose a command with one of the contents of messages.Command."""
+        """Propose a messages.Command with the given fields set."""
         command = self._make_command()
         for name, value in content.items():
             setattr(command, name, value)
@@ -50,7 +53,7 @@
     async def async_claim(self, claim: Any) -> Any:
         """Commit a messages.Claim and return its messages.ClaimReply.
 
-        Turned away as full, and certainly not committed, when too many wait.
+        If too many claims wait, the status is full and the claim was not proposed.
         """
         if self._waiting.qsize() >= MAX_WAITING_CLAIMS:
             return claim_reply(CLAIM_FULL)
@@ -60,7 +63,7 @@
         return item.reply
 
     async def async_run(self) -> None:
-        """Commit the waiting claims, some groups at a time."""
+        """Commit waiting claims, several groups concurrently."""
         async with curio.TaskGroup() as group:
             for _ in range(CONCURRENT_CLAIM_GROUPS):
                 await group.spawn(self._async_commit_groups())
--- a/bitterntiller/components/control/registrar.py
+++ b/bitterntiller/components/control/registrar.py
@@ -1,4 +1,4 @@
-"""What a leader knows of the upstreams that announce themselves, beside the log."""
+"""The leader's in-memory record of when upstreams announced themselves."""
 
 from typing import Any
 
@@ -12,9 +12,10 @@
 
 
 class Registrar:
-    """When each upstream was heard last, in the memory of one leader for one term.
+    """Detects silent upstreams during one leader's term.
 
-    An upstream that this leader has not heard yet counts as heard at the takeover.
+    An upstream that has not announced itself to this leader counts as if it had done so
+    at the takeover.
     """
 
     def __init__(self, started: float, state: UpstreamsState, timings: Timings) -> None:
@@ -24,7 +25,7 @@
         self._last_announced_by_name: dict[str, float] = {}
 
     def record_announcement(self, announcement: Any, now: float) -> list[Any]:
-        """Note an announcement; return what of it is new and to be committed."""
+        """Record an announcement; return the announcements to commit."""
         if self._state.is_stale(announcement):
             return []
         if announcement.state != UPSTREAM_GONE:
@@ -34,10 +35,10 @@
         return [*self._displaced(announcement, now), announcement]
 
     def _displaced(self, announcement: Any, now: float) -> list[Any]:
-        """Return the departures of those whose address another one has by now.
+        """Return departures of other upstreams under the address of an announcement.
 
-        Only of those that are silent: the announcement itself may be a delayed one
-        of an upstream that has died, whose address the present one was given since.
+        Only silent ones are displaced: the announcement itself may be a delayed one of
+        an upstream that died, and whose address now belongs to the registered one.
         """
         if announcement.state == UPSTREAM_GONE:
             return []
@@ -49,16 +50,16 @@
         ]
 
     def silence_changes(self, now: float) -> list[Any]:
-        """Return the announcements that stand for silence which lasts too long."""
-        news = []
+        """Return the announcements to commit for silent and gone upstreams."""
+        changes = []
         for item in self._state.by_name.values():
             silence = now - self._last_announced(item)
             if silence > self._timings.upstream_gone:
-                news.append(with_state(item, UPSTREAM_GONE))
+                changes.append(with_state(item, UPSTREAM_GONE))
             elif silence > self._timings.upstream_silent and is_ready(item):
-                news.append(with_state(item, UPSTREAM_SILENT))
+                changes.append(with_state(item, UPSTREAM_SILENT))
         self._forget()
-        return news
+        return changes
 
     def _last_announced(self, item: Any) -> float:
         return self._last_announced_by_name.get(item.name, self._started)
--- a/bitterntiller/components/control/services.py
+++ b/bitterntiller/components/control/services.py
@@ -1,11 +1,11 @@
-"""The services of the newest configuration."""
+"""The services of the latest configuration."""
 
 from bitterntiller.components.control.configuration import ConfigurationState
 from bitterntiller.components.control.validate import ParseConfig
 
 
 class ServiceNames:
-    """Reads the names once for each version of the configuration."""
+    """Caches the service names of the current configuration version."""
 
     def __init__(self, configuration: ConfigurationState, parse: ParseConfig) -> None:
         self._configuration = configuration
@@ -14,7 +14,7 @@
         self._names: frozenset[str] = frozenset()
 
     def names(self) -> frozenset[str]:
-        """Return the names; none before the first configuration."""
+        """Return the service names; empty before the first configuration."""
         configuration = self._configuration
         if self._version != configuration.version:
             parsed = self._parse(configuration.document, configuration.version)
--- a/bitterntiller/components/control/sessions.py
+++ b/bitterntiller/components/control/sessions.py
@@ -1,4 +1,4 @@
-"""The processes that a leader hears; kept in memory only, never in the log."""
+"""Sessions of processes with the leader; in memory only, never in the log."""
 
 from collections import deque
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 class SessionTable:
-    """Sessions by host, in the memory of one leader for one term."""
+    """Sessions by host, kept by a leader during one term."""
 
     def __init__(self, started: float) -> None:
         self.by_host: dict[str, Session] = {}
@@ -20,10 +20,10 @@
         self._replaced: deque[tuple[str, str]] = deque()
 
     def record_heartbeat(self, heartbeat: Any, now: float) -> Session | None:
-        """Note a messages.Heartbeat and return the session.
+        """Record a messages.Heartbeat and return the session.
 
-        None when another process of that host was heard after it: the heartbeat
-        was delayed, and the process that sent it has been replaced.
+        None if another process of the host has sent a heartbeat since: this heartbeat
+        was delayed and its process has been replaced.
         """
         if (heartbeat.host, heartbeat.incarnation) in self._replaced:
             return None
@@ -36,13 +36,13 @@
         return session
 
     def record_grant(self, session: Session) -> None:
-        """Note that the heartbeat of this session is answered with a lease."""
+        """Record that the last heartbeat of a session is answered with a lease."""
         self._granted_at[(session.host, session.incarnation)] = (
             session.last_heartbeat_at
         )
 
     def drain(self, host: str, incarnation: str) -> None:
-        """Give a process no more pools; it is about to stop."""
+        """Stop assigning pools to a process that is about to stop."""
         session = self.by_host.get(host)
         if session is not None and session.incarnation == incarnation:
             self.by_host[host] = session._replace(draining=True)
@@ -54,21 +54,20 @@
             self._replaced.remove(of_host[0])
 
     def seconds_since_grant(self, host: str, incarnation: str, now: float) -> float:
-        """Return how many seconds ago a process got a lease at the latest.
+        """Return a lower bound of the seconds since a process last got a lease.
 
-        Counted from the arrival of its heartbeat. A process that got none from
-        this leader may have got one from the leader before, until this one
-        took over.
+        Counted from the arrival of its heartbeat. A process without a lease from this
+        leader may have got one from the previous leader until the takeover.
         """
         return now - self._granted_at.get((host, incarnation), self._started)
 
     def is_replaced(self, host: str, incarnation: str) -> bool:
-        """Tell whether another process of the host is known by now."""
+        """Return whether the host's session belongs to another process."""
         session = self.by_host.get(host)
         return session is not None and session.incarnation != incarnation
 
     def assignable_sessions(self, now: float, within: float) -> dict[str, Session]:
-        """Return the sessions that may be given pools, by host."""
+        """Return the sessions that pools can be assigned to, by host."""
         return {
             host: session
             for host, session in self.by_host.items()
@@ -79,7 +78,7 @@
         }
 
     def expire(self, now: float, after: float) -> None:
-        """Drop the sessions that were silent for more than so many seconds."""
+        """Drop the sessions without a heartbeat for more than some seconds."""
         gone = [
             host
             for host, item in self.by_host.items()
--- a/bitterntiller/components/control/state.py
+++ b/bitterntiller/components/control/state.py
@@ -1,4 +1,4 @@
-"""The state that the replicated log drives."""
+"""The state machine of the replicated log."""
 
 import json
 from typing import Any
@@ -14,8 +14,8 @@
 class ControlState:
     """Configuration, owners, upstreams, rollouts and claims; a core StateMachine.
 
-    Deterministic: whatever depends on a clock or on settings comes with the
-    command, so that replicas with other settings still reach the same state.
+    Deterministic: everything that depends on a clock or on settings is part of the
+    command, so that replicas with different settings reach the same state.
     """
 
     def __init__(self) -> None:
@@ -30,8 +30,8 @@
     def apply(self, index: int, command: bytes) -> bytes:
         """Apply an encoded messages.Command; return a messages.CommandResult."""
         message = decode(messages.Command, command)
-        # A leader's clock may lag behind that of the one before it; ages must
-        # not shrink, or a dropped outcome could be wanted again.
+        # A leader's clock may lag behind its predecessor's. Ages must not decrease, or
+        # an outcome that was already dropped could be needed again.
         self.time_ms = max(self.time_ms, message.time_ms)
         self.applied = index
         self.configuration.expire(message.forget_changes_ms)
@@ -86,7 +86,7 @@
         self.configuration.from_document(document["configuration"])
         self.ownership.from_document(document["ownership"])
         self.claims.from_document(document["claims"])
-        # Snapshots that earlier versions of the program wrote lack these parts.
+        # Snapshots written by earlier versions lack these sections.
         self.upstreams = UpstreamsState()
         if "upstreams" in document:
             self.upstreams.from_document(document["upstreams"])
--- a/bitterntiller/components/control/upstreams.py
+++ b/bitterntiller/components/control/upstreams.py
@@ -1,12 +1,12 @@
 """The upstreams that have announced themselves to control.
 
-Only what hosts must agree on is in the log: that an upstream is there, leaving, silent
-or gone. An announcement that repeats what is known is noted in the leader's memory
-only, so that the log grows with the changes and not with the time.
+The log holds only what hosts must agree on: whether an upstream is present, leaving,
+silent or gone. An announcement without a change is recorded in the leader's memory
+only, so that the log grows with the number of changes and not with time.
 
-An upstream may be started again under the name that it had. The incarnation, which is
-higher at each start, tells its lives apart: words of an earlier life are stale
-whatever their sequence, and what ends one life takes nothing from the next.
+An upstream may be restarted under the same name. Its incarnation increases with each
+start: announcements of an earlier incarnation are stale regardless of their sequence,
+and a departure of one incarnation does not affect the next.
 """
 
 from collections import OrderedDict
@@ -29,7 +29,7 @@
 class UpstreamsState:
     """The registered upstreams; part of the replicated state.
 
-    version is the index of the last command that changed anything.
+    version is the log index of the last command that changed it.
     """
 
     def __init__(self) -> None:
@@ -38,7 +38,7 @@
         self._gone_incarnation_by_name: OrderedDict[str, int] = OrderedDict()
 
     def apply(self, index: int, announcements: list[Any]) -> None:
-        """Take messages.Announce of an upstream, in the order of the list."""
+        """Apply messages.Announce entries in the order of the list."""
         for announcement in announcements:
             if self._apply(announcement):
                 self.version = index
@@ -54,7 +54,7 @@
         return True
 
     def _record_gone(self, departure: Any) -> None:
-        """Remember which incarnation has gone, so that no late word revives it."""
+        """Record the incarnation that is gone; late announcements of it are stale."""
         incarnation = departure.incarnation
         if incarnation == UNSPECIFIED_INCARNATION:
             known = self.by_name.get(departure.name)
@@ -65,11 +65,11 @@
             gone.popitem(last=False)
 
     def is_stale(self, announcement: Any) -> bool:
-        """Tell whether an announcement is older than what is known.
+        """Return whether an announcement is older than the registered state.
 
-        A delayed one would bring back an upstream that is leaving or gone, and
-        requests would be sent to it, or to whatever has its address by now. One of an
-        earlier life would end the life that has begun since.
+        A delayed announcement would bring back an upstream that is leaving or gone;
+        requests would be sent to it, or to whatever uses its address now. An
+        announcement of an earlier incarnation would end the current one.
         """
         known = self.by_name.get(announcement.name)
         incarnation = announcement.incarnation
@@ -87,22 +87,22 @@
         return announcement.sequence <= known.sequence
 
     def is_change(self, announcement: Any) -> bool:
-        """Tell whether an announcement changes what hosts must agree on."""
+        """Return whether an announcement changes the state that hosts must agree on."""
         known = self.by_name.get(announcement.name)
         if known is None:
             return True
         return _content(known) != _content(announcement)
 
     def has_room_for(self, name: str) -> bool:
-        """Tell whether an upstream is registered, or one more may be."""
+        """Return whether an upstream is registered or can be registered."""
         return name in self.by_name or len(self.by_name) < MAX_UPSTREAMS
 
     def at_address(self, address: str) -> list[Any]:
-        """Return the upstreams that have announced an address as theirs."""
+        """Return the upstreams registered under an address."""
         return [item for item in self.by_name.values() if item.address == address]
 
     def to_document(self) -> dict[str, Any]:
-        """Return the whole state for a snapshot."""
+        """Return the state as a JSON document for a snapshot."""
         return {
             "version": self.version,
             "upstreams": [_to_document(item) for item in self.by_name.values()],
@@ -110,7 +110,7 @@
         }
 
     def from_document(self, document: dict[str, Any]) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state with that of a snapshot."""
         self.version = document["version"]
         found = [_from_document(item) for item in document["upstreams"]]
         self.by_name = {item.name: item for item in found}
@@ -120,14 +120,14 @@
 
 
 def with_state(announcement: Any, state: str) -> Any:
-    """Return an announcement as it is known, in another state."""
+    """Return a copy of a registered announcement in another state."""
     document = _to_document(announcement)
     document["state"] = state
     return _from_document(document)
 
 
 def is_ready(announcement: Any) -> bool:
-    """Tell whether an upstream takes work and is heard of."""
+    """Return whether an upstream takes requests and is not silent."""
     return announcement.state == UPSTREAM_READY
 
 
@@ -143,7 +143,7 @@
 
 
 def _gone_incarnation(item: Any) -> tuple[str, int]:
-    """Return a name and its last incarnation; older snapshots hold the name alone."""
+    """Return a name and its gone incarnation; older snapshots hold only the name."""
     if isinstance(item, str):
         return item, ALL_INCARNATIONS
     name, incarnation = item
--- a/bitterntiller/components/control/validate.py
+++ b/bitterntiller/components/control/validate.py
@@ -1,4 +1,4 @@
-"""Checks of a change before it is proposed, and of the timings at the start."""
+"""Validation of changes before they are proposed, and of the timings at startup."""
 
 import json
 from collections.abc import Callable
@@ -12,11 +12,11 @@
 from bitterntiller.core.errors import CodedError
 
 ParseConfig = Callable[[dict[str, Any], int], Any]
-"""Takes a document and its version; raises a CodedError for a bad one."""
+"""Parses a document of a version; raises a CodedError for an invalid one."""
 
 
 def find_change_error(change: Any, parse: ParseConfig) -> str:
-    """Return what is wrong with a messages.Change; empty when nothing is."""
+    """Return the error in a messages.Change, empty for a valid change."""
     if not 0 < len(change.change_id) <= MAX_ID_LENGTH:
         return f"a change id has 1 to {MAX_ID_LENGTH} characters"
     if len(change.config) > MAX_CONFIG_BYTES:
@@ -37,12 +37,12 @@
 
 
 def check_timings(timings: Timings) -> None:
-    """Raise TimingsError when an owner could be replaced while its lease runs.
+    """Raise TimingsError if an owner could be replaced while its lease is valid.
 
-    The leader counts owner_lease with a clock that may run faster than true,
-    and the node its lease with one that may run slower.
+    The leader's clock, which measures owner_lease, may run fast, and the node's clock,
+    which measures the lease, may run slow.
     """
     if timings.owner_lease * (1 - MAX_CLOCK_DRIFT) <= timings.lease:
-        raise TimingsError("owner_lease has to be longer than lease")
+        raise TimingsError("owner_lease must be longer than lease")
     if timings.heartbeat * 2 > timings.lease:
-        raise TimingsError("a lease has to be two heartbeats long, or more")
+        raise TimingsError("lease must be at least two heartbeat intervals")
--- a/tests/components/control/builders.py
+++ b/tests/components/control/builders.py
@@ -1,4 +1,4 @@
-"""Builders of settings, messages and fakes for the tests of control and nodes."""
+"""Builders of settings, messages and fakes for tests of control and node."""
 
 import json
 
@@ -40,7 +40,7 @@
 
 
 class FakeNetwork:
-    """Handlers by address; an address in cut can't be reached."""
+    """Message handlers by address; addresses in cut are unreachable."""
 
     def __init__(self):
         self.handlers_by_address = {}
@@ -74,7 +74,7 @@
 
 
 class FakeLog:
-    """A log on one replica whose quorum and leadership a test switches."""
+    """A log of one replica; a test sets its quorum and leadership."""
 
     def __init__(self, state, address="10.0.0.1:7000"):
         self.state = state
@@ -83,7 +83,7 @@
         self.quorum = True
         self.term = 1
         self.index = 0
-        self.lose_answers = False
+        self.lose_replies = False
 
     async def async_propose(self, command, timeout):
         if not self.leads:
@@ -92,7 +92,7 @@
             return ProposalResult("unknown", b"", "")
         self.index += 1
         result = self.state.apply(self.index, command)
-        if self.lose_answers:
+        if self.lose_replies:
             return ProposalResult("unknown", b"", "")
         return ProposalResult("committed", result, self.address)
 
@@ -144,7 +144,7 @@
 
 
 def parse_any(document, version):
-    """Parse like the configuration part, but refuse only what says so."""
+    """Parse like the config component, but reject only documents marked as bad."""
     if document.get("bad"):
         raise CodedError("bad is set")
     return Config(version, document.get("services", {}), {}, {}, {})
--- a/tests/components/control/mutations.py
+++ b/tests/components/control/mutations.py
@@ -1,4 +1,4 @@
-"""Guards broken one at a time, each as a change by monkeypatch."""
+"""Mutations that each disable one safety check by monkeypatch."""
 
 import json
 
@@ -32,7 +32,7 @@
     patch.setattr(ConfirmationBatcher, "async_confirm", confirm)
 
 
-def confirmation_under_way_shared(patch):
+def confirmation_in_progress_shared(patch):
     async def confirm(self):
         if self.current is None or self.current.done.is_set():
             self.current = self._next
@@ -85,7 +85,7 @@
     patch.setattr(ConfigurationState, "apply", apply)
 
 
-def owners_gone_at_takeover(patch):
+def owners_expired_at_takeover(patch):
     def seconds_since_grant(self, host, incarnation, now):
         return now - self._granted_at.get((host, incarnation), float("-inf"))
 
@@ -127,7 +127,7 @@
     patch.setattr(ownership.OwnershipState, "assign", assign)
 
 
-def old_epoch_acted_on(patch):
+def ownership_of_an_earlier_process_used(patch):
     def owner(self, pool):
         found = self.owners_by_pool.get(pool)
         return found and Ownership(found.host, found.address, found.epoch)
@@ -143,7 +143,7 @@
     patch.setattr(ownership.OwnershipState, "release", release)
 
 
-def released_epoch_acted_on(patch):
+def released_epoch_used(patch):
     patch.setattr(NodeDirectory, "release", lambda self, pools: None)
 
 
@@ -200,15 +200,15 @@
     gap_in_versions_ignored,
     outcomes_not_recorded,
     base_version_not_checked,
-    owners_gone_at_takeover,
+    owners_expired_at_takeover,
     owner_lease_not_waited_out,
     owner_replaced_at_once,
     epoch_counted_from_one,
-    old_epoch_acted_on,
+    ownership_of_an_earlier_process_used,
     released_by_another,
-    released_epoch_acted_on,
+    released_epoch_used,
 ]
-"""Caught by schedules of leaders and nodes."""
+"""Detected by random schedules of leaders and nodes."""
 
 STATE_MUTATIONS = [
     outcomes_not_recorded,
@@ -222,4 +222,4 @@
     claim_digest_not_compared,
     claims_lost_in_snapshot,
 ]
-"""Caught by sequences of commands to the state machine."""
+"""Detected by sequences of commands to the state machine."""
--- a/tests/components/control/schedule_fakes.py
+++ b/tests/components/control/schedule_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes of the clock and the log whose events a schedule brings about one by one."""
+"""Fakes of the clock and the log; a schedule triggers each of their events."""
 
 import curio
 
@@ -15,8 +15,8 @@
         return self._true.now() * self._rate + self._offset
 
 
-class Shared:
-    """What a quorum holds: the committed entries, and who leads it truly."""
+class SharedLog:
+    """The state of the quorum: the committed entries and the actual leader."""
 
     def __init__(self):
         self.entries = []
@@ -25,7 +25,7 @@
 
 
 class Confirmation:
-    """Acknowledgements may come long before the leader reads them."""
+    """A confirmation in progress; it may be acknowledged long before it returns."""
 
     def __init__(self, term):
         self.term = term
@@ -34,27 +34,27 @@
 
 
 class StepLog:
-    """One replica; its confirmations end when the schedule says so."""
+    """The log of one replica; the schedule decides when a confirmation returns."""
 
     def __init__(self, shared, state, address):
         self.shared = shared
         self.state = state
         self.address = address
         self.applied = 0
-        self.believes = False
+        self.believes_leading = False
         self.term = 0
-        self.lose_answers = False
+        self.lose_replies = False
         self.confirming = []
 
     @property
-    def truly_leads(self):
+    def is_actual_leader(self):
         return self.shared.leader is self
 
     def elect(self):
         self.shared.term += 1
         self.shared.leader = self
         self.term = self.shared.term
-        self.believes = True
+        self.believes_leading = True
         self.catch_up()
 
     def catch_up(self):
@@ -65,18 +65,18 @@
         return result
 
     async def async_propose(self, command, timeout):
-        if not self.believes:
+        if not self.believes_leading:
             return ProposalResult("not-leader", b"", "")
-        if not self.truly_leads:
+        if not self.is_actual_leader:
             return ProposalResult("unknown", b"", "")
         self.shared.entries.append(command)
         result = self.catch_up()
-        if self.lose_answers:
+        if self.lose_replies:
             return ProposalResult("unknown", b"", "")
         return ProposalResult("committed", result, self.address)
 
     async def async_confirm(self, timeout):
-        if not self.believes:
+        if not self.believes_leading:
             return None
         confirmation = Confirmation(self.term)
         index = self.applied
@@ -85,16 +85,16 @@
         return index if confirmation.acknowledged else None
 
     def acknowledge(self):
-        """Have a quorum acknowledge the lead, if it still follows this leader."""
+        """Acknowledge leadership by a quorum, if it still follows this leader."""
         for confirmation in self.confirming:
-            if self.truly_leads and confirmation.term == self.term:
+            if self.is_actual_leader and confirmation.term == self.term:
                 confirmation.acknowledged = True
 
     async def async_resolve(self):
         await self.confirming.pop(0).resolved.set()
 
     def is_leader(self):
-        return self.believes
+        return self.believes_leading
 
     def leader(self):
         return self.address
--- a/tests/components/control/schedules.py
+++ b/tests/components/control/schedules.py
@@ -1,8 +1,8 @@
-"""Seeded random orders of events for two leaders and some nodes, with checks.
+"""Seeded random schedules of events for two control replicas and some nodes.
 
-The product's coordinators run on fakes of the log, the links and the clocks. A
-schedule sends, delays, reorders and drops heartbeats, freezes and restarts
-processes, and lets a deposed leader go on believing that it leads.
+The real coordinators run on fakes of the log, the links and the clocks. A schedule
+sends, delays, reorders and drops heartbeats, freezes and restarts processes, and lets a
+deposed leader continue to act as leader. Invariants are checked after each step.
 """
 
 import json
@@ -17,7 +17,7 @@
 from bitterntiller.protocol import messages
 
 from .builders import make_change, make_document, make_node, make_runtime, parse_any
-from .schedule_fakes import DriftingClock, Shared, StepLog
+from .schedule_fakes import DriftingClock, SharedLog, StepLog
 
 HOSTS = ("bole-1", "kirkos-1", "yeka-1")
 POOLS = ("llm", "map")
@@ -29,7 +29,7 @@
     def __init__(self, seed):
         self.random = random.Random(seed)
         self.true_clock = ManualClock()
-        self.shared = Shared()
+        self.shared = SharedLog()
         self.controls = []
         self.processes = []
         self.outgoing = []
@@ -66,11 +66,11 @@
         for _ in range(8):
             await curio.sleep(0)
 
-    # Steps; each takes what it needs by random choice.
+    # Steps; each chooses its processes and messages at random.
 
     async def async_round(self):
-        """What happens when nothing fails: heartbeats go through, pools are placed."""
-        leading = [item for item in self.controls if item[1].truly_leads]
+        """Run a round without faults: heartbeats arrive and pools are assigned."""
+        leading = [item for item in self.controls if item[1].is_actual_leader]
         for process in self.processes[-len(HOSTS) :]:
             await self._async_beat(process, leading[0])
         await leading[0][0].async_place()
@@ -80,7 +80,7 @@
         await self._async_beat(process, self.random.choice(self.controls))
 
     async def _async_beat(self, process, control):
-        """A heartbeat that goes through without being overtaken."""
+        """Send a heartbeat whose reply arrives in order."""
         self._send(process, control)
         await self._async_arrive(self.outgoing.pop())
         self.true_clock.advance(self.random.choice((0.0, 0.02)))
@@ -150,9 +150,9 @@
         document = make_document(*POOLS, number=self.changes)
         change = make_change(f"change-{self.changes}", base, document)
         self.sent_changes[change.change_id] = change
-        log.lose_answers = self.random.random() < 0.2
+        log.lose_replies = self.random.random() < 0.2
         await self._async_submit(control, change)
-        log.lose_answers = False
+        log.lose_replies = False
 
     async def async_resend(self):
         if self.sent_changes:
@@ -168,21 +168,23 @@
         if reply.status in ("accepted", "conflict"):
             outcome = (reply.status, reply.version)
             first = self.first_outcomes.setdefault(change.change_id, outcome)
-            assert first == outcome, "one outcome for a change id"
+            assert first == outcome, "one outcome per change id"
         if reply.status == "accepted":
             document = json.loads(change.config)
-            assert reply.version == change.base_version + 1, "one winner of a version"
-            assert self.accepted[reply.version] == document, "accepted changes stay"
+            assert reply.version == change.base_version + 1, (
+                "one accepted change per version"
+            )
+            assert self.accepted[reply.version] == document, "accepted changes persist"
 
     async def async_elect(self):
         _, log, _ = self.random.choice(self.controls)
-        if not log.truly_leads:
+        if not log.is_actual_leader:
             log.elect()
 
     async def async_notice(self):
         for _, log, _ in self.controls:
-            if not log.truly_leads:
-                log.believes = False
+            if not log.is_actual_leader:
+                log.believes_leading = False
                 log.catch_up()
 
     async def async_place(self):
@@ -208,7 +210,7 @@
         self.processes.append(make_node(self._clock(), host=host))
 
     async def async_wait_lease(self):
-        """Wait until all leases without the newest change have just ended."""
+        """Wait until all leases granted before the latest change have just ended."""
         ends = self.committed_at[-1] + LEASE
         self.true_clock.advance(max(ends - self.true_clock.now(), 0.0))
 
@@ -277,5 +279,5 @@
 
 
 def run_schedule(seed, steps=120):
-    """Run one schedule; raise AssertionError where a promise is broken."""
+    """Run one schedule; raise AssertionError for a violated invariant."""
     curio.run(World(seed).async_run, steps)
--- a/tests/components/control/state_rules.py
+++ b/tests/components/control/state_rules.py
@@ -1,4 +1,4 @@
-"""Rules for sequences of commands to the control state, checked by a small model."""
+"""Sequences of commands to the control state, checked against a simple model."""
 
 import json
 from unittest import mock
@@ -28,7 +28,7 @@
 
 
 class ControlStateRules(RuleBasedStateMachine):
-    """The model knows what was answered; the state may never contradict it."""
+    """The model records all replies; the state must never contradict them."""
 
     def __init__(self):
         super().__init__()
@@ -74,7 +74,7 @@
 
     @rule()
     def forget_outcomes(self):
-        """Time passes: the change ids known so far are too old to be kept."""
+        """Expire all change ids recorded so far."""
         self.time_ms += 1000
         self.run(changes_ms=self.time_ms)
 
@@ -156,6 +156,6 @@
 
 
 def small_table(limit=3):
-    """Make the table of change ids small enough to overflow."""
+    """Limit the table of change ids so that it overflows."""
     name = "bitterntiller.components.control.configuration.MAX_CHANGE_IDS"
     return mock.patch(name, limit)
--- a/tests/components/control/test_coordinator.py
+++ b/tests/components/control/test_coordinator.py
@@ -1,4 +1,4 @@
-"""The leader's answers on fakes of the log and the clock."""
+"""The control leader's replies, on fakes of the log and the clock."""
 
 import curio
 
@@ -13,48 +13,48 @@
     make_document,
     make_heartbeat,
 )
-from .mutations import confirmation_under_way_shared
+from .mutations import confirmation_in_progress_shared
 
 
 class HeldLog:
-    """Confirms only when the test lets it."""
+    """A log that confirms leadership only when the test releases it."""
 
     def __init__(self):
-        self.let = curio.Semaphore(0)
+        self.released = curio.Semaphore(0)
 
     async def async_confirm(self, timeout):
-        await self.let.acquire()
+        await self.released.acquire()
         return 7
 
 
-async def second_waits_for_its_own():
+async def second_confirmation_waits():
     log = HeldLog()
     batch = ConfirmationBatcher(log, 1.0)
     run = await curio.spawn(batch.async_run)
     first = await curio.spawn(batch.async_confirm)
     await curio.sleep(0.01)
     second = await curio.spawn(batch.async_confirm)
-    await log.let.release()
+    await log.released.release()
     assert await first.join() == 7
     await curio.sleep(0.01)
     waited = not second.terminated
-    await log.let.release()
+    await log.released.release()
     await curio.sleep(0.01)
     await run.cancel()
     await second.cancel()
     return waited
 
 
-def test_a_confirmation_under_way_is_not_shared(monkeypatch):
+def test_confirmation_in_progress_is_not_shared(monkeypatch):
     """
-    An operator's change is accepted, yet a host works on under the old version
-    for longer than a lease. Its heartbeat came while a deposed leader waited
-    for acknowledgements that were sent before the change, and was granted by
-    them. The second half breaks the guard, to show that this test notices.
+    Guards against a host using an old version for longer than a lease after a change
+    was accepted. Its heartbeat would arrive while a deposed leader waits for
+    acknowledgements sent before the change, and be granted by them. The second half
+    disables the check, to show that this test detects the failure.
     """
-    assert curio.run(second_waits_for_its_own)
-    confirmation_under_way_shared(monkeypatch)
-    assert not curio.run(second_waits_for_its_own)
+    assert curio.run(second_confirmation_waits)
+    confirmation_in_progress_shared(monkeypatch)
+    assert not curio.run(second_confirmation_waits)
 
 
 def run_control(main, **fields):
@@ -68,20 +68,20 @@
     curio.run(run)
 
 
-def test_change_with_a_lost_answer():
+def test_change_with_a_lost_reply():
     """
-    A leader is deposed after a change was committed and before it answers. The
-    operator hears unknown, resends with the same id after another change was
-    accepted, and hears that the first was accepted, with the version it made.
+    A leader is deposed after it committed a change and before it replied. The operator
+    gets unknown and resends the change with the same id after another one was accepted:
+    the reply is accepted, with the version that the change created.
     """
 
     async def main(control, log, clock):
         change = make_change("c1", 0, make_document("llm"))
-        log.lose_answers = True
+        log.lose_replies = True
         reply = await control.async_change("operator", change)
         assert reply.status == "unknown"
         assert "same change id" in reply.text
-        log.lose_answers = False
+        log.lose_replies = False
         other = make_change("c2", 1, make_document("llm", "map"))
         assert (await control.async_change("operator", other)).status == "accepted"
         reply = await control.async_change("operator", change)
@@ -90,7 +90,7 @@
     run_control(main)
 
 
-def test_a_bad_configuration_is_never_proposed():
+def test_invalid_configuration_is_not_proposed():
     async def main(control, log, clock):
         for number, config in enumerate((b'{"bad": 1}', b"[", b"[1]", b"[" * 100000)):
             change = make_change(f"c{number}", 0, {})
@@ -103,11 +103,11 @@
     run_control(main)
 
 
-def test_a_configuration_that_no_frame_can_carry_is_refused():
+def test_configuration_larger_than_a_frame_is_rejected():
     """
-    An operator applies a configuration full of letters that JSON escapes. It is
-    small as it comes and too large as it is sent on: accepted, it would reach
-    no node, and the whole deployment would refuse work.
+    A configuration with many characters that JSON escapes is small enough as received
+    and too large as sent to nodes. If it were accepted, no node could receive it and
+    the whole deployment would reject requests.
     """
 
     async def main(control, log, clock):
@@ -132,8 +132,8 @@
     run_control(main)
 
 
-async def own_pool(control, clock):
-    """Have kirkos-1 own the only pool, as the first host that is heard."""
+async def assign_pool(control, clock):
+    """Make kirkos-1 the owner of the only pool, as the only host with a session."""
     change = make_change("c1", 0, make_document("llm"))
     await control.async_change("operator", change)
     await control.async_heartbeat("kirkos-1", make_heartbeat(leased=True))
@@ -143,15 +143,15 @@
     assert control.state.ownership.owners_by_pool["llm"].host == "kirkos-1"
 
 
-def test_pools_of_an_owner_that_can_not_use_its_lease_move():
+def test_pools_of_an_owner_without_a_lease_move():
     """
-    After an upgrade of the others, one host can't read the newest
-    configuration. It still sends heartbeats, but takes no lease, so its pools
-    stand still. They move to another host, and the host is heard again.
+    After an upgrade of the other hosts, one host can't parse the latest configuration.
+    It sends heartbeats but holds no lease, so its pools are blocked. They move to
+    another host, and then its heartbeats are granted again.
     """
 
     async def main(control, log, clock):
-        await own_pool(control, clock)
+        await assign_pool(control, clock)
         for _ in range(20):
             clock.advance(0.5)
             other = make_heartbeat("bole-1", leased=True)
@@ -167,9 +167,9 @@
 
 def test_claim_of_a_dead_holder_is_orphaned():
     """
-    A host dies while a keyed request runs. A copy of the key arrives elsewhere
-    and hears running only while the holder may live: for an owner lease, or
-    until another process of that host is heard.
+    A host dies while a request with an idempotency key runs. A copy of the request on
+    another host gets running only while the holder may be alive: for an owner lease, or
+    until another process of that host sends a heartbeat.
     """
 
     async def main(control, log, clock):
@@ -188,10 +188,10 @@
     run_control(main)
 
 
-def test_ages_go_on_under_a_new_leader():
+def test_cluster_time_continues_under_a_new_leader():
     """
-    A leader with a clock that was just started takes over. Outcomes recorded
-    before must neither be dropped at once nor be kept for ever.
+    The clock of a new leader has just been started. Outcomes recorded earlier must
+    neither be dropped at once nor be kept forever.
     """
 
     async def main(control, log, clock):
--- a/tests/components/control/test_parts.py
+++ b/tests/components/control/test_parts.py
@@ -1,4 +1,4 @@
-"""Placement, merge patches and the check of timings."""
+"""Pool assignment, merge patches and validation of timings."""
 
 import pytest
 from hypothesis import given, settings
@@ -27,7 +27,7 @@
 
 @settings(derandomize=True, database=None)
 @given(documents, documents)
-def test_a_patch_leads_to_the_document_or_there_is_none(before, after):
+def test_patch_yields_the_document_or_is_none(before, after):
     patch = make_patch(before, after)
     assert patch is None or apply_patch(before, patch) == after
     if "None" not in str(after):
@@ -48,7 +48,7 @@
     return {**owners, **changed}, len(plan)
 
 
-def test_pools_are_spread_and_move_only_when_their_owner_is_gone():
+def test_pools_are_balanced_and_move_only_from_expired_owners():
     owners, _ = place({}, "a", "b", "c")
     hosts = [owner.host for owner in owners.values()]
     assert {hosts.count(host) for host in "abc"} == {4}
@@ -61,6 +61,6 @@
 
 
 @pytest.mark.parametrize("fields", [{"owner_lease": 3.0}, {"heartbeat": 2.0}])
-def test_timings_that_break_the_lease_are_refused(fields):
+def test_timings_that_break_leases_are_rejected(fields):
     with pytest.raises(TimingsError):
         check_timings(Timings()._replace(**fields))
--- a/tests/components/control/test_schedules.py
+++ b/tests/components/control/test_schedules.py
@@ -1,4 +1,4 @@
-"""Random orders of events, whole and with one guard broken at a time."""
+"""Random schedules of events, with and without a disabled safety check."""
 
 import pytest
 
@@ -9,19 +9,19 @@
 
 
 @pytest.mark.parametrize("part", range(5))
-def test_promises_hold_in_every_order(part):
+def test_invariants_hold_in_every_schedule(part):
     """
-    Heartbeats and answers are delayed, crossed and lost, clocks run at unlike
-    rates, processes freeze, wake and restart, and a deposed leader goes on for
-    a while. After each step: no lease under a configuration replaced a lease
-    ago, no lower version, one outcome for a change id, one owner acting.
+    Heartbeats and replies are delayed, reordered and lost, clocks drift, processes
+    freeze, resume and restart, and a deposed leader continues for a while. Invariants
+    after each step: no lease under a configuration that was replaced more than a lease
+    ago, no lower version, one outcome per change id, one acting owner per pool.
     """
     for seed in range(part, SEEDS, 5):
         run_schedule(seed)
 
 
 @pytest.mark.parametrize("mutation", LEASE_MUTATIONS, ids=lambda item: item.__name__)
-def test_broken_guard_is_caught(mutation, monkeypatch):
+def test_mutation_is_detected(mutation, monkeypatch):
     mutation(monkeypatch)
     with pytest.raises(AssertionError):
         for seed in range(SEEDS):
--- a/tests/components/control/test_state.py
+++ b/tests/components/control/test_state.py
@@ -1,4 +1,4 @@
-"""The control state: sequences of commands, whole and with broken guards."""
+"""The control state: command sequences, with and without a disabled check."""
 
 import pytest
 from hypothesis import HealthCheck, Phase, settings
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("mutation", STATE_MUTATIONS, ids=lambda item: item.__name__)
-def test_broken_guard_is_caught(mutation, monkeypatch):
+def test_mutation_is_detected(mutation, monkeypatch):
     mutation(monkeypatch)
     with pytest.raises(AssertionError), small_table():
         run_state_machine_as_test(ControlStateRules, settings=FIXED)
@@ -40,9 +40,9 @@
 
 def test_resent_change_after_its_outcome_was_dropped():
     """
-    An operator loses the answer to an accepted change and resends it after
-    weeks. The outcome is no longer kept. A conflict would tell the operator
-    that the change was refused, which is untrue: it hears expired-id.
+    The reply to an accepted change is lost, and the operator resends the change weeks
+    later, when its outcome is no longer stored. A conflict would wrongly report that
+    the change was rejected, so the reply is expired-id.
     """
     state = ControlState()
     change = make_change("c1", 0, make_document("llm"))
@@ -55,9 +55,8 @@
 
 def test_claims_are_dropped_by_age_only(monkeypatch):
     """
-    Callers use more keys than there is room for. A claim that is kept for its
-    time must not make way, or a copy of its request would run again: the new
-    request is refused instead.
+    Callers use more keys than can be stored. A claim that has not expired must not be
+    evicted, or a copy of its request would run again: the new request is rejected.
     """
     monkeypatch.setattr(claims, "MAX_CLAIMS_PER_WORKSPACE", 1)
     state = ControlState()
--- a/tests/components/control/test_thin_path.py
+++ b/tests/components/control/test_thin_path.py
@@ -1,4 +1,4 @@
-"""A control host and two nodes, from the first start to a change in force."""
+"""One control host and two nodes, from startup to a change in force."""
 
 import curio
 
@@ -42,7 +42,7 @@
     curio.run(main)
 
 
-def test_outcomes_outlive_a_restart(tmp_path):
+def test_outcomes_survive_a_restart(tmp_path):
     async def start(change_id, expected):
         runtime = make_runtime(RuntimeClock(), data_folder=tmp_path)
         async with runtime.stack:
--- a/tests/components/control/test_upstreams.py
+++ b/tests/components/control/test_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that announce themselves to control."""
+"""Registration of upstreams with control."""
 
 import json
 from typing import Any
@@ -41,10 +41,10 @@
     return {item.name: item.state for item in state.by_name.values()}
 
 
-def test_late_announcement_revives_nobody():
-    """A request is sent to an upstream that has gone, or to who has its address now.
+def test_late_announcement_is_ignored():
+    """Guards against requests to a gone upstream, or to a new user of its address.
 
-    An announcement was held up by a cut and arrives after the departure.
+    An announcement is delayed by a network partition and arrives after the departure.
     """
     state = UpstreamsState()
     state.apply(1, [announce(sequence=4)])
@@ -56,11 +56,11 @@
     assert states(state) == {}
 
 
-def test_restart_under_the_same_name_is_a_new_life():
-    """An upstream that was started again gets no request for the rest of the day.
+def test_restart_under_the_same_name_is_a_new_incarnation():
+    """Guards against a restarted upstream that gets no requests for hours.
 
-    It crashed, started under its old name, and its announcements count from 1 again:
-    all of them look older than what is known.
+    It crashed and restarted under the same name, and its announcements count from 1
+    again: without the incarnation, all of them look stale.
     """
     state = UpstreamsState()
     registrar = Registrar(0.0, state, TIMINGS)
@@ -73,11 +73,11 @@
     assert state.version == 2
 
 
-def test_words_of_an_earlier_life_change_nothing():
-    """Requests stop coming to an upstream that has just been started again.
+def test_announcements_of_an_earlier_incarnation_are_ignored():
+    """Guards against a restarted upstream that stops getting requests.
 
-    What its earlier life said is held up by a cut: that it leaves, that it has gone,
-    that it serves at its old address. All of it arrives after the new start.
+    Announcements of its earlier incarnation (ready under its old address, leaving,
+    silent, gone) are delayed by a network partition and arrive after the restart.
     """
     state = UpstreamsState()
     state.apply(1, [announce(sequence=40, incarnation=5)])
@@ -88,10 +88,10 @@
     assert state.version == 2
 
 
-def test_new_life_follows_a_departure_and_the_old_one_does_not():
-    """An upstream that left and was started again is never used.
+def test_only_a_new_incarnation_registers_after_a_departure():
+    """Guards against an upstream that left and restarted but is never used.
 
-    Its departure was taken for the end of its name, not of one life.
+    The departure would be applied to the name instead of to one incarnation.
     """
     state = UpstreamsState()
     state.apply(1, [announce(sequence=4, incarnation=5)])
@@ -102,7 +102,7 @@
     assert states(state) == {"e1": "ready"}
 
 
-def test_departure_of_no_stated_life_ends_the_one_that_is_known():
+def test_departure_without_incarnation_ends_the_registered_one():
     state = UpstreamsState()
     state.apply(1, [announce(sequence=4, incarnation=5)])
     gone = announce(sequence=2**62, incarnation=UNSPECIFIED_INCARNATION, state="gone")
@@ -112,8 +112,8 @@
     assert not state.is_stale(announce(sequence=1, incarnation=6))
 
 
-def test_departure_of_one_that_was_never_known_holds():
-    """A late announcement revives an upstream whose departure was acknowledged."""
+def test_departure_of_an_unregistered_upstream_is_recorded():
+    """A late announcement must not register an upstream that has departed."""
     state = UpstreamsState()
     state.apply(
         1, [announce(sequence=2**62, incarnation=UNSPECIFIED_INCARNATION, state="gone")]
@@ -121,13 +121,13 @@
     assert state.is_stale(announce(sequence=5, incarnation=5))
 
 
-def test_snapshot_of_an_earlier_version_keeps_who_has_gone():
+def test_snapshot_of_an_earlier_version_keeps_gone_upstreams():
     state = UpstreamsState()
     state.from_document({"version": 3, "upstreams": [], "gone": ["e1"]})
     assert state.is_stale(announce(incarnation=2**60))
 
 
-def test_lives_survive_a_snapshot():
+def test_incarnations_survive_a_snapshot():
     state = UpstreamsState()
     state.apply(1, [announce(incarnation=5), announce("e2", incarnation=7)])
     state.apply(2, [announce(sequence=2, incarnation=5, state="gone")])
@@ -139,7 +139,7 @@
 
 
 def test_registered_upstreams_are_bounded():
-    """A faulty sender fills the log of control with names that nobody has."""
+    """Guards against a faulty sender that fills the log with invented names."""
     state = UpstreamsState()
     state.by_name = {str(number): announce() for number in range(MAX_UPSTREAMS)}
     assert state.has_room_for("7")
@@ -157,7 +157,7 @@
     assert other.upstreams.is_stale(announce("e2", 10))
 
 
-def test_repetition_is_noted_in_memory_only():
+def test_repetition_is_recorded_in_memory_only():
     state = UpstreamsState()
     registrar = Registrar(0.0, state, TIMINGS)
     first = announce()
@@ -169,8 +169,8 @@
     )
 
 
-def test_silence_is_told_once_and_ends_with_the_next_announcement():
-    """An upstream that lost its power is sent requests for as long as it is listed."""
+def test_silence_is_reported_once_and_ends_with_an_announcement():
+    """Guards against requests to an upstream that lost power without a departure."""
     state = UpstreamsState()
     registrar = Registrar(0.0, state, TIMINGS)
     state.apply(1, registrar.record_announcement(announce(), 1.0))
@@ -184,10 +184,10 @@
     assert states(state) == {}
 
 
-def test_new_leader_waits_before_it_calls_anybody_silent():
-    """All upstreams vanish at once when a new leader takes over.
+def test_new_leader_waits_before_it_reports_silence():
+    """Guards against all upstreams becoming silent when a new leader takes over.
 
-    It has heard none of them yet, which is no silence of theirs.
+    The leader has not received an announcement from any of them yet.
     """
     state = UpstreamsState()
     state.apply(1, [announce()])
@@ -195,7 +195,7 @@
 
 
 def test_address_is_taken_over_from_a_silent_upstream_only():
-    """A delayed announcement of a dead upstream pushes out who has its address now."""
+    """A dead upstream's late announcement must not displace a live one."""
     state = UpstreamsState()
     registrar = Registrar(0.0, state, TIMINGS)
     state.apply(1, registrar.record_announcement(announce("old"), 1.0))
@@ -213,9 +213,10 @@
 
 
 def test_highest_number_takes_effect_and_all_are_acknowledged():
-    """Two operators send versions at once; the lower one, which is late, comes to win.
+    """Guards against a lower version that wins because it arrives later.
 
-    It is acknowledged, as it was overtaken and not refused, and changes nothing.
+    Two operators send versions concurrently. The lower one was superseded, not
+    rejected, so it is acknowledged and has no effect.
     """
     state = ControlState()
     for index, number in enumerate((7, 4, 9, 9, 8), start=1):
--- a/tests/components/control/test_waiting_heartbeats.py
+++ b/tests/components/control/test_waiting_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats that come while control has no leader."""
+"""Heartbeats that arrive while control has no leader."""
 
 import curio
 
@@ -12,9 +12,10 @@
 
 
 def test_heartbeat_waits_for_the_leader(monkeypatch):
-    """Entry hosts refuse requests for a third of a second though control is back.
+    """Guards against entry hosts rejecting requests for a third of a second.
 
-    They asked while there was no leader, were told so, and ask again after a pause.
+    Control has recovered, but their heartbeats were rejected while it had no leader,
+    and are repeated only after a delay.
     """
 
     async def run():
@@ -41,7 +42,7 @@
     curio.run(run)
 
 
-def test_heartbeat_is_refused_when_no_leader_comes(monkeypatch):
+def test_heartbeat_is_rejected_without_a_leader(monkeypatch):
     monkeypatch.setattr(coordinator, "LEADER_WAIT", 0.01)
 
     async def run():
@@ -56,10 +57,10 @@
     curio.run(run)
 
 
-def test_hosts_of_one_moment_hear_of_each_other_soon():
-    """Requests wait for an owner a quarter of a second after all hosts are back.
+def test_first_reply_lists_hosts_that_started_together():
+    """Guards against requests waiting 0.25 s for an owner after all hosts restart.
 
-    The leader tells the hosts it knows, which it looked at before any was heard.
+    The leader would send a directory that it built before the first heartbeat.
     """
 
     async def run():
