--- a/tests/components/replication/explorer.py
+++ b/tests/components/replication/explorer.py
@@ -187,9 +187,7 @@
         self.restart()
         before = self.checker.last_committed()
         weights = {"deliver": 620, "pass_time": 100, "sync": 200, "propose": 10}
-        for action in self.rng.choices(
-            list(fault_free), list(fault_free.values()), k=30000
-        ):
+        for action in self.rng.choices(list(weights), list(weights.values()), k=30000):
             getattr(self, action)()
             if self.checker.last_committed() > before + 3 and not self.unrepaired_host:
                 return
