--- a/bitterntiller/components/replication/records.py
+++ b/bitterntiller/components/replication/records.py
@@ -5,7 +5,7 @@
 from bitterntiller.protocol import decode, encode, messages
 
 from .members import decode_members, encode_members
-from .models import Entry, HardState, Mark, Persist, Restored, Snapshot
+from .models import Entry, HardState, Mark, Persist, PersistentState, Snapshot
 
 
 def encode_batch(persist: Persist) -> bytes:
@@ -15,9 +15,11 @@
         term=hard.term if hard else None,
         vote=hard.vote if hard else None,
         boot=hard.boot if hard else None,
-        marks=None if marks is None else [_wire_mark(*item) for item in marks.items()],
+        marks=None
+        if marks is None
+        else [_mark_to_wire(*item) for item in marks.items()],
         truncate_from=persist.truncate_from,
-        entries=wire_entries(persist.entries),
+        entries=entries_to_wire(persist.entries),
     )
     return encode(batch)
 
@@ -31,7 +33,7 @@
     marks = None
     if batch.marks is not None:
         marks = {m.replica: Mark(m.boot, m.term, m.index) for m in batch.marks}
-    entries = plain_entries(batch.entries or ())
+    entries = entries_from_wire(batch.entries or ())
     return Persist(0, hard, marks, batch.truncate_from, entries, None)
 
 
@@ -56,24 +58,24 @@
     return Snapshot(file.index, file.term, members, file.data)
 
 
-def wire_entries(entries: tuple[Entry, ...]) -> list[Any]:
+def entries_to_wire(entries: tuple[Entry, ...]) -> list[Any]:
     """Return entries as Thrift structures."""
     return [messages.Entry(*entry) for entry in entries]
 
 
-def plain_entries(entries: list[Any]) -> tuple[Entry, ...]:
+def entries_from_wire(entries: list[Any]) -> tuple[Entry, ...]:
     """Return Thrift structures as entries."""
     return tuple(Entry(e.index, e.term, e.kind, e.data) for e in entries)
 
 
-def _wire_mark(replica: str, mark: Mark) -> Any:
+def _mark_to_wire(replica: str, mark: Mark) -> Any:
     return messages.Mark(replica, *mark)
 
 
 class Replay:
     """What a data folder holds after the writes applied so far."""
 
-    def __init__(self, start: Restored) -> None:
+    def __init__(self, start: PersistentState) -> None:
         self._replica = start.replica
         self._hard = start.hard
         self._marks = start.marks_by_replica
@@ -97,12 +99,12 @@
         if self._entries:
             del self._entries[max(index - self._entries[0].index, 0) :]
 
-    def restored(self) -> Restored:
+    def restored(self) -> PersistentState:
         """Return the outcome, with the entries behind the snapshot only."""
         snapshot, entries = self._snapshot, self._entries
         if snapshot is not None:
             entries = _behind(snapshot, entries)
-        return Restored(
+        return PersistentState(
             self._replica, self._hard, dict(self._marks), snapshot, tuple(entries)
         )
 
--- a/tests/components/replication/cluster.py
+++ b/tests/components/replication/cluster.py
@@ -7,7 +7,7 @@
 import zlib
 from dataclasses import dataclass, field
 
-from bitterntiller.components.replication import join_decisions, repair
+from bitterntiller.components.replication import join_decisions, repair_decisions
 from bitterntiller.components.replication.const import EntryKind
 from bitterntiller.components.replication.core import Replica
 from bitterntiller.components.replication.members import encode_members, find, voters
@@ -15,31 +15,31 @@
     Entry,
     Member,
     Persist,
-    Restored,
+    PersistentState,
     Tuning,
 )
 from bitterntiller.components.replication.records import Replay
-from bitterntiller.components.replication.state import Role, initial
+from bitterntiller.components.replication.state import Role, initial_persistent_state
 
 from .checker import Checker, ViolationError
 from .profiles import MIXED, Profile
 
-WAITS_FOR_ALL = 1e9
-TUNING = Tuning(trailing=2)
+INFINITE_GRACE = 1e9
+TUNING = Tuning(trailing_entries=2)
 
 
 @dataclass
 class Node:
     host: str
-    disk: Restored
+    disk: PersistentState
     rate: float
     clock: float = 100.0
     replica: Replica | None = None
     write: Persist | None = None
     frozen: bool = False
-    copies: list[Restored] = field(default_factory=list)
+    copies: list[PersistentState] = field(default_factory=list)
     applied: int = 0
-    chain: int = 0
+    state_hash: int = 0
     checked: int = 0
 
 
@@ -48,15 +48,15 @@
 
     def __init__(self, seed: int, profile: Profile = MIXED) -> None:
         self.rng = random.Random(seed)
-        self.profile, hosts, first = profile, profile.hosts, profile.first
+        self.profile, hosts, first = profile, profile.hosts, profile.initial_voters
         self.nodes = {h: self._new_node(h) for h in hosts}
         self.network: list[tuple[str, str, object]] = []
         self.cuts: set[tuple[str, str]] = set()
-        self.calm = False
-        self.lateness = self.rng.choice((0.0, 0.2, 0.8))
-        self.fragile = self.copied = ""
+        self.fault_free = False
+        self.reorder_probability = self.rng.choice((0.0, 0.2, 0.8))
+        self.unrepaired_host = self.restored_replica = ""
         self.checker = Checker()
-        self.asked: dict[int, int] = {}
+        self.committed_at_request: dict[int, int] = {}
         self.tokens = 0
         members = tuple(self.member(h, True) for h in hosts[:first])
         for host in hosts[:first]:
@@ -70,7 +70,9 @@
             self.start(self.nodes[host])
 
     def _new_node(self, host: str) -> Node:
-        return Node(host, initial(f"{host}/1"), self.rng.uniform(0.9, 1.1))
+        return Node(
+            host, initial_persistent_state(f"{host}/1"), self.rng.uniform(0.9, 1.1)
+        )
 
     def member(self, host: str, voter: bool) -> Member:
         return Member(self.nodes[host].disk.replica, host, host, voter)
@@ -80,15 +82,15 @@
         pieces = self.rng.choice((7, 99))
         batch = self.profile.batch
         tuning = TUNING._replace(
-            return_grace=grace,
+            startup_check_grace=grace,
             piece_bytes=pieces,
             batch_entries=batch,
-            first_election=self.profile.first_election,
+            first_election_spacing=self.profile.first_election_spacing,
         )
         seed = random.Random(self.rng.random())
         node.replica = Replica(node.disk, tuning, seed, node.clock)
-        node.write, node.applied, node.chain, node.checked = None, 0, 0, 0
-        self.after(node)
+        node.write, node.applied, node.state_hash, node.checked = None, 0, 0, 0
+        self.apply_effects(node)
 
     def any_node(self) -> Node | None:
         up = [n for n in self.nodes.values() if n.replica and not n.frozen]
@@ -107,7 +109,7 @@
 
     def new_identity(self, node: Node) -> None:
         host, _, number = node.disk.replica.partition("/")
-        node.disk = initial(f"{host}/{int(number) + 1}")
+        node.disk = initial_persistent_state(f"{host}/{int(number) + 1}")
         node.copies = []
         self.start(node)
 
@@ -117,37 +119,41 @@
             return
         for other in self.nodes.values():
             if other.replica and join_decisions.is_empty(other.replica.state):
-                join_decisions.hear_empty(state, other.disk.replica)
+                join_decisions.on_empty_follower(state, other.disk.replica)
             if other.replica and not find(state.members, other.disk.replica):
-                new = repair.joined(
+                new = repair_decisions.with_learner(
                     state.members, other.disk.replica, *[other.host] * 2
                 )
                 node.replica.change_members(new, node.clock)
                 break
-        if step := repair.next_step(state, [], node.clock):
+        if step := repair_decisions.next_membership(state, [], node.clock):
             node.replica.change_members(step, node.clock)
-        self.after(node)
+        self.apply_effects(node)
         if self._all_up() and self._full_redundancy():
-            self.fragile = self.copied = ""
+            self.unrepaired_host = self.restored_replica = ""
 
     def _all_up(self) -> bool:
         nodes = self.nodes.values()
-        return all(n.replica and n.replica.state.returning.done for n in nodes)
+        return all(n.replica and n.replica.state.startup_check.done for n in nodes)
 
     def _full_redundancy(self) -> bool:
         for node in self.leaders():
             state = node.replica.state
             count = len(voters(state.members))
             settled = count >= 3 and state.members.index <= state.commit
-            if settled and repair.survives(state, node.clock) == (count - 1) // 2:
+            if (
+                settled
+                and repair_decisions.failure_tolerance(state, node.clock)
+                == (count - 1) // 2
+            ):
                 return True
         return False
 
     def all_sound(self) -> bool:
-        return not self.fragile and self._all_up() and self._full_redundancy()
+        return not self.unrepaired_host and self._all_up() and self._full_redundancy()
 
-    def after(self, node: Node) -> None:
-        effects = node.replica.take(node.clock)
+    def apply_effects(self, node: Node) -> None:
+        effects = node.replica.take_effects(node.clock)
         if effects.retired:
             self.new_identity(node)
             return
@@ -158,16 +164,21 @@
         if effects.restore:
             if effects.restore.index < node.applied:
                 raise ViolationError("the state went back to an older snapshot")
-            node.applied, node.chain = effects.restore.index, int(effects.restore.data)
-            self.checker.chain(node)
+            node.applied, node.state_hash = (
+                effects.restore.index,
+                int(effects.restore.data),
+            )
+            self.checker.check_state_hash(node)
         for entry in effects.committed:
             if entry.index != node.applied + 1:
                 raise ViolationError(f"{entry.index} applied after {node.applied}")
             node.applied = entry.index
-            node.chain = zlib.crc32(repr(entry).encode(), node.chain)
-            self.checker.chain(node)
+            node.state_hash = zlib.crc32(repr(entry).encode(), node.state_hash)
+            self.checker.check_state_hash(node)
         for outcome in effects.reads:
-            asked = self.asked.pop(outcome.token)
-            if outcome.index is not None and outcome.index < asked:
-                raise ViolationError(f"read {outcome.index} after {asked} committed")
+            committed_at_request = self.committed_at_request.pop(outcome.token)
+            if outcome.index is not None and outcome.index < committed_at_request:
+                raise ViolationError(
+                    f"read {outcome.index} after {committed_at_request} committed"
+                )
         self.checker.check(node)
