--- a/tests/components/entry/quota_hosts.py
+++ b/tests/components/entry/quota_hosts.py
@@ -15,7 +15,7 @@
 from bitterntiller.components.dispatch.quota_queue import QuotaRequest
 from bitterntiller.components.dispatch.quotas import QuotaState
 from bitterntiller.components.dispatch.retry_reservations import QuotaRefusal
-from bitterntiller.components.entry.quota import QuotaHold, QuotaAccount
+from bitterntiller.components.entry.quota import QuotaAccount, QuotaHold
 from bitterntiller.components.settings.models import QuotaWindow
 from bitterntiller.core.clock import ManualClock
 from bitterntiller.protocol import messages
@@ -102,7 +102,9 @@
         decision = counter.decide(ask, self.basis(name), now)
         return ask if decision is None else self.take(decision, name)
 
-    def take(self, decision: QuotaDecision, name: str = COUNTER) -> QuotaHold | QuotaRefusal:
+    def take(
+        self, decision: QuotaDecision, name: str = COUNTER
+    ) -> QuotaHold | QuotaRefusal:
         """Have the host that asked hear a decision."""
         if decision.refusal is not None:
             return decision.refusal
@@ -257,7 +259,9 @@
         else:
             self._decided(host, request, found)
 
-    def _decided(self, host: int, request: Request, found: QuotaHold | QuotaRefusal) -> None:
+    def _decided(
+        self, host: int, request: Request, found: QuotaHold | QuotaRefusal
+    ) -> None:
         if isinstance(found, QuotaHold):
             self._shared.accounts[host].spend(self._shared.owner, request.size, found)
             self._sent[-1] += request.size
