--- a/bitterntiller/components/dispatch/__init__.py
+++ b/bitterntiller/components/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""The owner of a pool: its queue, its upstreams, its grants."""
+"""The dispatch role: the owner of a pool queues and grants its requests."""
 
 import math
 from functools import partial
@@ -27,15 +27,15 @@
 
 
 def make_scheduler(kind: str, crashes: CrashView | None = None) -> Scheduler:
-    """Return the scheduler of a pool of a kind: engine or plain."""
+    """Return the scheduler of a pool of a kind, engine or plain."""
     return PoolScheduler(DEFAULT_PARAMETERS._replace(kind=kind), crashes)
 
 
 REGISTERED_PREFILL_WINDOW = 0.4
-"""Seconds of prefill that an engine may have outstanding when it is sent more.
+"""Seconds of outstanding prefill up to which an engine is sent further requests.
 
-The owner hears of an output up to half a second after it came; with less in advance an
-engine stands idle meanwhile.
+The owner receives progress up to half a second after the output; with a shorter window
+engines would be idle in the meantime.
 """
 
 REGISTERED_PARAMETERS = DEFAULT_PARAMETERS._replace(
@@ -50,17 +50,18 @@
     adaptive=False,
     lower_share=const.DEFAULT_LOWER_SHARE,
 )
-"""The parameters of pools whose requests have an objective for their first output.
+"""Parameters of pools whose upstreams register with control.
 
-Running requests keep their objective beside any others, since output comes many times
-faster than it must; so every slot is filled, and only what waits is in question. There
-is no margin on estimated completion: it would pass over requests with long outputs
-until their objective is missed, while small ones behind them are sent.
+Their requests have an objective for the first output. Running requests meet their
+deadlines beside any others, since output is many times faster than required; so every
+slot is filled, and only waiting requests can miss an objective. There is no margin on
+the estimated completion: it would skip requests with long outputs until their objective
+is missed, while small requests behind them are sent.
 """
 
 
 def make_registered_scheduler(kind: str, crashes: CrashView | None = None) -> Scheduler:
-    """Return the scheduler of a pool that is told of silence instead of hearing it."""
+    """Return the scheduler of a pool whose silent upstreams are reported by control."""
     return PoolScheduler(REGISTERED_PARAMETERS._replace(kind=kind), crashes)
 
 
@@ -74,9 +75,9 @@
     versions: VersionsView,
     control: ControlCalls,
 ) -> DispatchCoordinator:
-    """Set the dispatch role up for entry hosts that choose their owners.
+    """Set up the dispatch role for entry hosts that select their owners themselves.
 
-    Upstreams are those that are registered with control.
+    The upstreams are those registered with control.
     """
     coordinator = DispatchCoordinator(
         runtime,
@@ -117,7 +118,7 @@
     versions: VersionsView | None = None,
     control: ControlCalls | None = None,
 ) -> DispatchCoordinator:
-    """Set the dispatch role up; it is unloaded with the runtime's stack."""
+    """Set up the dispatch role; it is unloaded with the runtime's stack."""
     make = partial(make_scheduler, crashes=crashes)
     coordinator = DispatchCoordinator(
         runtime, lease, config, directory, make, versions=versions
@@ -146,8 +147,8 @@
         runtime.stack.callback(runtime.links.handle(cls, handler))
     await runtime.async_spawn(coordinator.async_run())
     clock = runtime.clock
-    # Not by the bare names of the functions: modules of this package have the
-    # same names, and take them over in this namespace once they are imported.
+    # Uses the qualified name, since the submodule "describe" replaces a function of
+    # the same name in this namespace once it is imported.
     runtime.add_diagnostics(
         "dispatch", lambda: diagnostics.describe(coordinator, clock.now())
     )
--- a/bitterntiller/components/dispatch/call_durations.py
+++ b/bitterntiller/components/dispatch/call_durations.py
@@ -1,14 +1,14 @@
-"""How long calls of plain services take, by their size."""
+"""Estimates of the duration of calls to plain services, by request size."""
 
 PRIOR_CALL_SECONDS = 0.1
 MEAN_GAIN = 0.1
 
 
 class CallDurations:
-    """Learns the mean seconds of a call for each octave of prompt tokens.
+    """Learns the mean duration of calls for each octave of prompt tokens.
 
-    The size of its body is all that is told of a call beforehand. The mean is
-    that of the logarithm, over all upstreams of the pool.
+    The size of the body is all that is known of a call in advance. The mean is the
+    geometric mean over all upstreams of the pool.
     """
 
     def __init__(self) -> None:
@@ -16,11 +16,11 @@
         self._samples_by_octave: dict[int, int] = {}
 
     def is_measured(self, prompt_tokens: int) -> bool:
-        """Tell whether a call of this octave has ended yet."""
+        """Return whether any call of this octave has ended yet."""
         return prompt_tokens.bit_length() in self._seconds_by_octave
 
     def seconds(self, prompt_tokens: int) -> float:
-        """Return the mean seconds; a guess by the next octaves if not measured."""
+        """Return the mean seconds, estimated from adjacent octaves if not measured."""
         octave = prompt_tokens.bit_length()
         known = self._seconds_by_octave
         if octave in known:
@@ -29,7 +29,7 @@
         return min(near, default=PRIOR_CALL_SECONDS)
 
     def learn(self, prompt_tokens: int, seconds: float) -> None:
-        """Learn from the seconds of one call."""
+        """Learn from the duration of one call."""
         if seconds <= 0:
             return
         octave = prompt_tokens.bit_length()
--- a/bitterntiller/components/dispatch/coordinator.py
+++ b/bitterntiller/components/dispatch/coordinator.py
@@ -1,4 +1,4 @@
-"""Owns the schedulers of this host's pools, their timing and their messages."""
+"""Runs the pools that this host owns: timing, incoming messages and decisions."""
 
 from collections.abc import Callable
 from typing import Any
@@ -29,10 +29,10 @@
 from bitterntiller.protocol import messages
 
 SchedulerFactory = Callable[[str], Scheduler]
-"""Makes the scheduler of a pool of a kind: engine or plain."""
+"""Returns the scheduler for a kind of pool, engine or plain."""
 
 PoolAction = Callable[[OwnedPool, float], list[Decision]]
-"""Tells an owned pool of a message at a time; returns what it decides."""
+"""Applies a message to an owned pool at a time; returns the decisions."""
 
 
 class DispatchCoordinator:
@@ -72,14 +72,14 @@
         self.pools_by_name: dict[str, OwnedPool] = {}
 
     def add_announce_listener(self, listener: Callable[[Any], None]) -> None:
-        """Have a callback called with each accepted messages.Announce.
+        """Call a listener with each accepted messages.Announce.
 
-        The callback never awaits.
+        The listener must not await.
         """
         self._announce_listeners.append(listener)
 
     async def async_run(self) -> None:
-        """Follow ownership, the configuration and time, until cancelled."""
+        """Apply ownership and configuration changes and run timers, until cancelled."""
         while True:
             now = self._clock.now()
             self._sync_ownership(now)
@@ -94,11 +94,11 @@
             await self._async_wait_for_work()
 
     async def _async_wait_for_work(self) -> None:
-        """Wait until something is due; without any request, until one comes.
+        """Wait until something is due, or while idle until a request arrives.
 
-        Where entry hosts choose their owners every host may own every pool, and few do.
-        Where control names them, a host looks all the time whether it has become one:
-        grants begin some time after that.
+        Where entry hosts select their owners, every host may own every pool, but few
+        get requests. Where control assigns pools, the host does not go idle, since
+        grants begin some time after it has become an owner.
         """
         self._idle = self._registered is not None and self._is_idle()
         self._changed.clear()
@@ -114,9 +114,9 @@
         return bool(pools) and not tracked and self._buffer.is_empty
 
     async def _async_leave_idle(self) -> None:
-        """Take note of a request that comes; before it, of what has changed meanwhile.
+        """Apply pending changes before the first request after an idle time.
 
-        Its grant must not rest on a list of upstreams of a second ago.
+        Otherwise its grant could be based on an outdated list of upstreams.
         """
         if not self._idle:
             return
@@ -135,7 +135,7 @@
                 await self.async_on_reregister(message.entry_host, message)
 
     async def async_on_register(self, _host: str, message: Any) -> None:
-        """Take a waiting request of an entry host."""
+        """Queue a waiting request of an entry host."""
         await self._async_leave_idle()
         pool = self._pool(message.pool)
         if pool is None:
@@ -146,7 +146,7 @@
         await self._async_execute(pool, decisions)
 
     async def async_on_reregister(self, _host: str, message: Any) -> None:
-        """Take all that an entry host has with a pool."""
+        """Take over all requests that an entry host has in a pool."""
         await self._async_leave_idle()
         pool = self._pool(message.pool)
         now = self._clock.now()
@@ -158,7 +158,7 @@
         await self._async_execute(pool, decisions)
 
     async def async_on_live(self, _host: str, message: Any) -> None:
-        """Forget what an entry host has no more."""
+        """Drop requests that an entry host no longer lists."""
         host = message.entry_host
         self._last_live_by_host[host] = self._clock.now()
         ids = frozenset(message.request_ids)
@@ -167,37 +167,37 @@
         )
 
     async def async_on_cancel(self, _host: str, message: Any) -> None:
-        """Forget a request whose caller has gone."""
+        """Cancel a request whose caller has disconnected."""
         await self._async_apply(
             message.pool, lambda pool, now: pool.cancel(message.request_id, now)
         )
 
     async def async_on_started(self, _host: str, message: Any) -> None:
-        """Note that a grant was used."""
+        """Record that a grant was used."""
         await self._async_apply(
             message.pool, lambda pool, now: pool.started(message.request_id, now)
         )
 
     async def async_on_progress(self, _host: str, message: Any) -> None:
-        """Note the output of running requests."""
+        """Record the output of running requests."""
         await self._async_apply(
             message.pool, lambda pool, now: pool.progress(message.items, now)
         )
 
     async def async_on_finished(self, _host: str, message: Any) -> None:
-        """Note the end of a request."""
+        """Record the end of a request."""
         await self._async_apply(
             message.pool, lambda pool, now: pool.finished(message, now)
         )
 
     async def async_on_returned(self, _host: str, message: Any) -> None:
-        """Take an unused grant back."""
+        """Take back an unused grant."""
         await self._async_apply(
             message.pool, lambda pool, now: pool.returned(message, now)
         )
 
     async def _async_apply(self, name: str, action: PoolAction) -> None:
-        """Have an owned pool decide on a message, and carry the decisions out."""
+        """Apply a message to an owned pool and execute the decisions."""
         pool = self._pool(name)
         if pool is None:
             return
@@ -205,13 +205,13 @@
         await self._async_execute(pool, decisions)
 
     async def async_on_upstream_limit(self, _host: str, message: Any) -> None:
-        """Take note of the limit that an answer of an upstream named."""
+        """Apply the rate limit that a response of an upstream stated."""
         await self._async_apply(
             message.pool, lambda pool, now: pool.update_rate_limit(message, now)
         )
 
     async def async_on_announce(self, _host: str, message: Any) -> Any:
-        """Take an upstream's announcement."""
+        """Process the announcement of an upstream."""
         pool = self._pool(message.pool)
         if pool is None:
             return messages.AnnounceReply(status=const.ANNOUNCE_NO_OWNER)
@@ -224,11 +224,10 @@
         return messages.AnnounceReply(status=status)
 
     def _pool(self, name: str) -> OwnedPool | None:
-        """Return an owned pool, None for one that this host may not act for.
+        """Return an owned pool, or None if this host must not act as its owner.
 
-        An owner that was cut off or stopped and comes back has lost its lease:
-        another host owns the pool under a later epoch, and this one's grants
-        would load the upstreams twice.
+        An owner that was partitioned or paused has lost its lease: another host may own
+        the pool under a later epoch, and grants of both would overload the upstreams.
         """
         if not self._lease.valid():
             return None
@@ -254,7 +253,7 @@
 
     def _remove_pool(self, name: str) -> None:
         if self.pools_by_name.pop(name, None) is not None:
-            logging.info("pool %s is no longer owned here", name)
+            logging.info("this host no longer owns pool %s", name)
 
     def _add_pool(self, name: str, kind: str, epoch: int, now: float) -> None:
         settled_at = now + self._timings.owner_settle
@@ -263,7 +262,7 @@
         self.pools_by_name[name] = pool
         self._registered_version = 0
         self._versions_version = 0
-        logging.info("pool %s is owned here under epoch %d", name, epoch)
+        logging.info("this host owns pool %s under epoch %d", name, epoch)
 
     async def _async_sync_config(self, now: float) -> None:
         if self._config.version == self._config_version:
@@ -274,7 +273,7 @@
             await self._async_execute(pool, decisions)
 
     async def _async_sync_versions(self, now: float) -> None:
-        """Tell the pools which versions of their upstreams get requests."""
+        """Pass changed version rules to the pools."""
         view = self._versions
         if view is None or view.version == self._versions_version:
             return
@@ -286,7 +285,7 @@
                 await self._trial_started.set()
 
     async def async_wait_for_trial(self) -> None:
-        """Return once a rollout of an owned pool's service is judged."""
+        """Return once a trial of an owned pool's service has started."""
         self._trial_started.clear()
         await self._trial_started.wait()
 
@@ -300,12 +299,12 @@
     async def async_end_trial(
         self, pool: OwnedPool, number: int, complete: bool
     ) -> None:
-        """Act by a rollout's verdict before the version rules tell of it."""
+        """Apply the verdict of a rollout before the version rules contain it."""
         decisions = pool.end_trial(number, complete, self._clock.now())
         await self._async_execute(pool, decisions)
 
     async def _async_sync_upstreams(self, now: float) -> None:
-        """Tell the pools what control has registered, where upstreams tell control."""
+        """Pass changes of the upstreams registered with control to the pools."""
         view = self._registered
         if view is None or view.version == self._registered_version:
             return
@@ -315,13 +314,13 @@
             await self._async_execute(pool, decisions)
 
     async def async_review(self, fingerprints: frozenset[int]) -> None:
-        """Decide anew on copies of requests of whose crashes there is news."""
+        """Decide again on requests whose fingerprints have new crash evidence."""
         for pool in list(self.pools_by_name.values()):
             decisions = pool.review(fingerprints, self._clock.now())
             await self._async_execute(pool, decisions)
 
     async def async_drop_host(self, host: str) -> None:
-        """Forget all that an entry host has here; it has turned to another owner."""
+        """Cancel all requests of an entry host, which uses another owner now."""
         now = self._clock.now()
         for pool in list(self.pools_by_name.values()):
             for request_id, tracked in list(pool.tracked_by_id.items()):
@@ -329,12 +328,12 @@
                     await self._async_execute(pool, pool.cancel(request_id, now))
 
     async def async_on_ended(self, _host: str, message: Any) -> None:
-        """Take messages.EndedRequests of an entry host."""
+        """Process messages.EndedRequests of an entry host."""
         if self._lease.valid():
             await self.async_forget_ended(message.entry_host, message.request_ids)
 
     async def async_forget_ended(self, host: str, request_ids: list[str]) -> None:
-        """Forget requests that have ended at an entry host, whose end was not heard."""
+        """Cancel requests whose end at the entry host was not received here."""
         now = self._clock.now()
         for pool in list(self.pools_by_name.values()):
             for request_id in request_ids:
@@ -350,12 +349,13 @@
         return entry.incarnation if entry is not None else ""
 
     async def _async_drop_dead_hosts(self, now: float) -> None:
-        """Free what entry processes held that have died.
+        """Cancel the requests of entry processes that have died.
 
-        Nobody will report the end of their requests; without this the slots
-        would count as used for ever. A newer incarnation proves the death. A host
-        that left the directory may be cut off from control and still run its
-        requests; it counts as dead when it is silent towards this host too.
+        The ends of these requests are never reported, so their slots would count as
+        used for ever. A newer incarnation proves that a process died. A host that left
+        the directory may only be cut off from control and still run its requests; it
+        counts as dead once it has sent neither a list of live requests nor the request
+        itself to this host for DEAD_HOST_SILENCE.
         """
         if now - self._dead_hosts_checked_at < const.DEAD_HOSTS_PERIOD:
             return
@@ -384,11 +384,11 @@
         return min(max(wake - now, const.SHORTEST_PAUSE), const.LONGEST_PAUSE)
 
     async def _async_execute(self, pool: OwnedPool, decisions: list[Decision]) -> None:
-        """Tell what the pool found of upstreams, and send each decision in a task.
+        """Log upstream events, and send each decision in a task of its own.
 
-        A host that lost its power answers nothing, so that dialling it takes the
-        whole connection timeout. Sent in turn, each decision for it would keep
-        the grants of all other hosts waiting for about as long as they are valid.
+        Connecting to a host without power takes the whole connection timeout. If
+        decisions were sent one by one, each decision for such a host would delay the
+        grants of all other hosts for about as long as these are valid.
         """
         for event in pool.take_events():
             log_upstream_event(pool.name, event)
--- a/bitterntiller/components/dispatch/describe.py
+++ b/bitterntiller/components/dispatch/describe.py
@@ -1,4 +1,4 @@
-"""The owner's view for the dump."""
+"""State of a pool's scheduler for the state dump."""
 
 from bitterntiller.components.dispatch.pool import Pool
 from bitterntiller.components.dispatch.queue import PoolQueue
@@ -13,7 +13,7 @@
     waiting: int,
     now: float,
 ) -> dict[str, object]:
-    """Return the waiting work by tier and the upstreams by name."""
+    """Return the waiting work by tier, and the upstreams by name."""
     return {
         "waiting": waiting,
         "slots": pool.slots,
--- a/bitterntiller/components/dispatch/diagnostics.py
+++ b/bitterntiller/components/dispatch/diagnostics.py
@@ -1,4 +1,4 @@
-"""The dispatch role's share of the dump."""
+"""Diagnostics of the dispatch role for the state dump."""
 
 from collections.abc import Mapping
 from typing import Any
--- a/bitterntiller/components/dispatch/errors.py
+++ b/bitterntiller/components/dispatch/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the owner of a pool."""
+"""Errors of the dispatch role."""
 
 from bitterntiller.core.errors import CodedError
 
--- a/bitterntiller/components/dispatch/estimator.py
+++ b/bitterntiller/components/dispatch/estimator.py
@@ -1,4 +1,4 @@
-"""Updates the models of upstreams from the progress of running requests."""
+"""Updates the models of upstreams from the progress and ends of requests."""
 
 from bitterntiller.components.dispatch.const import (
     KIND_PLAIN,
@@ -16,7 +16,7 @@
 
 
 class Estimator:
-    """Passes samples on to the speed, limit, health and prefixes of upstreams."""
+    """Passes samples to the speed, limit, health and prefix models of upstreams."""
 
     def __init__(
         self, parameters: PolicyParameters, pool: Pool, size_estimator: SizeEstimator
@@ -28,12 +28,13 @@
     def progress(
         self, job: Job, output_tokens: int, now: float, first: float | None
     ) -> None:
-        """Learn from the tokens that a running request has got so far.
+        """Learn from the number of tokens that a running request has received.
 
-        The message comes up to half a second after the first output, which is several
-        times what a prefill takes. Taken for the end of the prefill, its arrival would
-        show an engine as many times too slow, and refuse long prompts as late beside
-        idle engines; so the entry host tells when the first output came.
+        The message arrives up to half a second after the first output, which is several
+        times the duration of a prefill. If its arrival counted as the end of the
+        prefill, an engine would seem many times too slow, and long prompts would be
+        refused as too late beside idle engines. The entry host therefore reports when
+        the first output came.
         """
         upstream = job.upstream
         if upstream is None or output_tokens <= job.tokens_seen:
@@ -57,9 +58,9 @@
             return
         if completion.load is not None:
             upstream.ledger.apply_load_report(completion.load, now)
-        # A caller that leaves, or asks for what the upstream rejects, says nothing
-        # against the upstream. Counted as failures, a few of them in a row would
-        # show as an upstream that pauses for everybody.
+        # A caller that disconnects, or sends what the upstream rejects, is no failure
+        # of the upstream. If these were counted, a few of them in a row would stop
+        # all requests to the upstream.
         if completion.outcome == OUTCOME_CALLER_GONE:
             return
         if completion.outcome == OUTCOME_REJECTED:
@@ -71,9 +72,9 @@
         self._pool.note_success(upstream, now)
         upstream.last_active_at = now
         self._size_estimator.learn(job, completion)
-        # The time of a call tells of the upstream's speed only beside the measured
-        # mean of such calls. Beside a guess it would show as an upstream that is
-        # many times too slow or too fast for calls of all sizes.
+        # The duration of a call measures the upstream's speed only relative to the
+        # measured mean of such calls. Relative to an unmeasured estimate, an upstream
+        # would seem many times too slow or too fast for calls of all sizes.
         if not (self._plain and (job.adopted or job.unmeasured)):
             self._learn_from_completion(job, upstream, completion, now)
         if completion.cached_tokens is not None:
@@ -82,7 +83,7 @@
             )
 
     def not_run(self, upstream: Upstream, reason: str, now: float) -> None:
-        """Learn from a request that the upstream did not take."""
+        """Learn from a request that the upstream did not accept."""
         if reason == REASON_NOT_ADMITTED:
             upstream.limit.record_rejection(
                 upstream.ledger.in_flight - 1, upstream.state.slots
@@ -113,7 +114,7 @@
     def _learn_from_completion(
         self, job: Job, upstream: Upstream, completion: Completion, now: float
     ) -> None:
-        """Learn from the times of a whole answer."""
+        """Learn from the times of a completed request."""
         in_flight = upstream.ledger.in_flight
         first = completion.first_token
         if self._plain:
--- a/bitterntiller/components/dispatch/event_logging.py
+++ b/bitterntiller/components/dispatch/event_logging.py
@@ -1,4 +1,4 @@
-"""Decisions of an owner, and what it believes of upstreams, as events of the log."""
+"""Log events for the decisions of an owner and state changes of its upstreams."""
 
 from typing import Any
 
@@ -15,7 +15,7 @@
 
 
 def log_decision(pool: str, decision: Decision) -> None:
-    """Log a grant or a refusal, and what it was decided by."""
+    """Log a grant or a refusal, with the basis of the decision."""
     if isinstance(decision, Granted):
         _log_grant(pool, decision)
     else:
@@ -23,7 +23,7 @@
 
 
 def log_upstream_event(pool: str, event: UpstreamEvent) -> None:
-    """Log that an upstream is given work from now on, or no more, and why."""
+    """Log that an upstream is used from now on or no longer used, and why."""
     probe_in = event.probe_in
     events.emit(
         "upstream-use",
@@ -39,12 +39,12 @@
 
 
 def log_missed_end(pool: str, request_id: str, host: str) -> None:
-    """Log that a request had ended at its entry host without this owner's hearing."""
+    """Log that the end of a request at its entry host was not received here."""
     events.emit("end-missed", request=request_id, pool=pool, entry_host=host)
 
 
 def log_quota(decision: QuotaDecision) -> None:
-    """Log what was decided on a request at its workspace's quota, and by what."""
+    """Log a quota decision, with the state that it was based on."""
     request, refusal, state = decision.request, decision.refusal, decision.state
     events.emit(
         "quota",
--- a/bitterntiller/components/dispatch/grant_loop.py
+++ b/bitterntiller/components/dispatch/grant_loop.py
@@ -1,4 +1,4 @@
-"""The loop that grants what waits, as long as an upstream is free."""
+"""The loop that grants waiting requests while upstreams are free."""
 
 from bitterntiller.components.dispatch.const import MAX_SKIPS
 from bitterntiller.components.dispatch.jobs import Job
@@ -18,12 +18,12 @@
 
 
 class GrantLoop:
-    """Takes requests from the head of the queue, and does what is chosen for each.
+    """Takes requests from the head of the queue and grants, parks or refuses them.
 
-    blocked are the groups whose head found no upstream. They are left alone until an
-    upstream gets room or the next housekeeping, so that a full pool costs nothing at
-    each arrival. Each tier below the most important one may hold lower_share of the
-    slots before those above it.
+    blocked are the groups whose head could not be placed on any upstream. They are
+    skipped until an upstream gets capacity or until the next housekeeping, so that
+    arrivals at a full pool cost nothing. Each tier below the most important one may
+    hold lower_share of the slots ahead of the tiers above it.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self._lower_share = lower_share
 
     def decide(self, now: float, decisions: list[Decision]) -> None:
-        """Grant to the head of the queue as long as an upstream is free."""
+        """Grant the head of the queue as long as an upstream is free."""
         self._unblock_freed()
         skips = 0
         while self._jobs.waiting and self._any_free(now) and skips < MAX_SKIPS:
@@ -79,7 +79,7 @@
         self._blocked.clear()
 
     def _next_job(self) -> Job | None:
-        """Return the next request: of a tier short of its share, or the head."""
+        """Return the next request: of a tier below its share, or the queue's head."""
         for rank in self._pool.ranks_below_share(self._lower_share):
             job = self._queue.head_of(rank, self._blocked)
             if job is not None:
--- a/bitterntiller/components/dispatch/owned_pool.py
+++ b/bitterntiller/components/dispatch/owned_pool.py
@@ -1,4 +1,4 @@
-"""One pool that this host owns, under one epoch."""
+"""A pool that this host owns under one epoch."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -31,10 +31,10 @@
 
 
 class TrackedRequest(NamedTuple):
-    """A request as the owner tracks it: who sent it, and whether it may be sent.
+    """A request that the owner tracks, with the entry process that sent it.
 
-    granted is true from the grant until its return. known_at is when the entry
-    host last told of the request, in the owner's time.
+    granted is true from the grant until the grant is returned. last_reported_at is when
+    the entry host last registered the request, on the owner's clock.
     """
 
     request: WaitingRequest
@@ -44,11 +44,11 @@
 
 
 class OwnedPool:
-    """Feeds one scheduler and keeps what it needs besides: labels, settling.
+    """Passes messages to the pool's scheduler; tracks requests and upstream labels.
 
-    For the first seconds of an epoch nothing is granted: the entry hosts are
-    telling what still runs under the owner before. Without the pause the new
-    owner would see idle upstreams and grant them a second full load.
+    Nothing is granted for the first seconds of an epoch, in which the entry hosts
+    report what still runs under the previous owner. Without this pause the new owner
+    would take the upstreams for idle and grant them a second full load.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self.rollout = PoolTrial(scheduler)
 
     def set_versions(self, rules: VersionRules, now: float) -> list[Decision]:
-        """Put version rules in force."""
+        """Apply version rules."""
         return self._record_decisions(self.rollout.set_rules(rules, now), now)
 
     def renew_allowance(
@@ -77,11 +77,11 @@
         return self._record_decisions(self.rollout.allow(number, more, until, now), now)
 
     def end_trial(self, number: int, complete: bool, now: float) -> list[Decision]:
-        """Act by a rollout's verdict."""
+        """Apply the verdict of a rollout."""
         return self._record_decisions(self.rollout.end(number, complete, now), now)
 
     def configure(self, config: Config, now: float) -> list[Decision]:
-        """Put a configuration in force."""
+        """Apply a configuration."""
         self._config = config
         decisions = self.scheduler.set_limits(workspace_limits(config), now)
         return self._record_decisions(decisions, now) + self._reapply_selectors(now)
@@ -89,11 +89,11 @@
     def register(
         self, message: messages.Register, incarnation: str, now: float
     ) -> list[Decision]:
-        """Take a request, or hold it while the epoch settles.
+        """Register a request, or hold it until the epoch has settled.
 
-        A repetition goes on to the scheduler: the grant may have been lost with a
-        broken connection. The request would then wait until its deadline beside
-        idle upstreams, since only the scheduler knows that the grant lapsed.
+        A repeated registration is passed to the scheduler too, since the grant may have
+        been lost with a broken connection. Otherwise the request would wait until its
+        deadline beside idle upstreams: only the scheduler tracks expired grants.
         """
         request_id = message.request_id
         if now < self._settled_at and request_id not in self.tracked_by_id:
@@ -115,33 +115,33 @@
         return request
 
     def _register_held(self, now: float) -> list[Decision]:
-        """Take what was held while the epoch settled, all of it together.
+        """Register all requests that were held while the epoch settled, together.
 
-        One by one, work of a low tier would be granted or kept before the owner
-        has heard of the higher one that waits as well.
+        One by one, requests of a low tier would be granted or kept before the owner has
+        registered waiting requests of a higher tier.
         """
-        held = list(self._held_by_id.values())
+        pending = list(self._held_by_id.values())
         self._held_by_id.clear()
         requests = [
-            self._track(message, incarnation, now) for message, incarnation in held
+            self._track(message, incarnation, now) for message, incarnation in pending
         ]
         return self._record_decisions(self.scheduler.register_all(requests, now), now)
 
     def reregister(
         self, message: messages.Reregister, incarnation: str, now: float
     ) -> list[Decision]:
-        """Take all that an entry host has with this pool, and forget what it has not.
+        """Take over all requests of an entry host and drop those not in the message.
 
-        An entry host that passed this owner over for a moment told the ends of its
-        requests to another one. Kept here, those would fill the slots of upstreams that
-        are idle, until the next list of live requests some seconds later.
+        An entry host that used another owner for a moment reported the ends of its
+        requests there. If these requests were kept here, they would occupy slots of
+        idle upstreams until the next list of live requests, some seconds later.
         """
         known = {item.request.request_id for item in message.running}
         known.update(item.request_id for item in message.waiting)
         ids = frozenset(known)
         decisions: list[Decision] = []
-        # What runs is counted first, or the slots that are freed would be granted
-        # though requests run in them.
+        # Running requests are counted first; otherwise slots that are freed below would
+        # be granted although these requests occupy them.
         for item in message.running:
             decisions += self.adopt_running(item, incarnation, now)
         decisions += self.retain_only(message.entry_host, ids, now, 0.0)
@@ -152,7 +152,7 @@
     def adopt_running(
         self, item: messages.RunningItem, incarnation: str, now: float
     ) -> list[Decision]:
-        """Count a request that runs under an earlier owner's grant."""
+        """Count a request that runs under a grant of an earlier owner."""
         request = self._request(item.request, now)
         tracked = TrackedRequest(request, incarnation, True, now)
         self.tracked_by_id[request.request_id] = tracked
@@ -163,7 +163,7 @@
         return self._record_decisions(decisions, now)
 
     def cancel(self, request_id: str, now: float) -> list[Decision]:
-        """Forget a request."""
+        """Drop a request."""
         self._held_by_id.pop(request_id, None)
         self.tracked_by_id.pop(request_id, None)
         self.rollout.forget(request_id)
@@ -176,12 +176,12 @@
         now: float,
         grace_seconds: float = UNLISTED_GRACE_SECONDS,
     ) -> list[Decision]:
-        """Forget what an entry host has no more, given all that it has.
+        """Drop the requests of an entry host that are not in its list of live requests.
 
-        The end of a request is told once. When that message is lost with a broken
-        connection, the slot would count as used for as long as the epoch lasts.
-        What was told of in the last known_seconds is kept: its message may have come by
-        another connection than this one.
+        The end of a request is reported once. If that message is lost with a broken
+        connection, its slot would count as used until the end of the epoch. Requests
+        reported within the last grace_seconds are kept, since their message may have
+        arrived on another connection than the list.
         """
         decisions: list[Decision] = []
         for request_id, tracked in list(self.tracked_by_id.items()):
@@ -192,13 +192,13 @@
         return decisions
 
     def started(self, request_id: str, now: float) -> list[Decision]:
-        """Note that a request is being sent."""
+        """Record that a request is being sent."""
         return self._record_decisions(self.scheduler.started(request_id, now), now)
 
     def progress(
         self, items: list[messages.ProgressItem], now: float
     ) -> list[Decision]:
-        """Note the output of running requests."""
+        """Record the output of running requests."""
         decisions: list[Decision] = []
         for item in items:
             first = None if item.first_ms is None else item.first_ms / 1000
@@ -209,14 +209,14 @@
         return self._record_decisions(decisions, now)
 
     def finished(self, message: messages.Finished, now: float) -> list[Decision]:
-        """Note the end of a request."""
+        """Record the end of a request."""
         self.tracked_by_id.pop(message.request_id, None)
         end = completion(message, now)
         self.rollout.note_finished(end)
         return self._record_decisions(self.scheduler.finished(end, now), now)
 
     def returned(self, message: messages.Returned, now: float) -> list[Decision]:
-        """Take an unused grant back."""
+        """Take back an unused grant."""
         tracked = self.tracked_by_id.pop(message.request_id, None)
         self.rollout.note_returned(message.request_id, message.reason)
         if message.still_waiting and tracked is not None:
@@ -228,7 +228,7 @@
         return self._record_decisions(decisions, now)
 
     def drop_undelivered(self, request_id: str, now: float) -> list[Decision]:
-        """Take back a grant that could not be sent, and forget its request."""
+        """Drop a request whose grant could not be delivered."""
         self.tracked_by_id.pop(request_id, None)
         decisions = self.scheduler.returned(request_id, REASON_UNDELIVERED, False, now)
         return self._record_decisions(decisions, now)
@@ -236,7 +236,7 @@
     def announce(
         self, message: messages.Announce, now: float
     ) -> tuple[bool, list[Decision]]:
-        """Take an announcement; False for one older than what is known."""
+        """Apply an announcement; return False if it is older than the known state."""
         self.rollout.note_announced(message, now)
         accepted, decisions = self.scheduler.announce(upstream_state(message, now), now)
         if accepted and self._labels_by_upstream.get(message.name) != message.labels:
@@ -249,16 +249,16 @@
     def sync_registered(
         self, registered: Mapping[str, messages.Announce], version: int, now: float
     ) -> list[Decision]:
-        """Take the list of all registered upstreams in its version.
+        """Apply a version of the list of all upstreams registered with control.
 
-        One that is no longer listed has gone and is given no more work.
+        An upstream that is no longer listed counts as leaving and gets no requests.
         """
         decisions: list[Decision] = []
         for item in registered.values():
             if item.pool == self.name:
                 decisions += self._announce_registered(item, item.state, version, now)
-        gone = self._registered_by_name.keys() - registered.keys()
-        for name in gone:
+        removed = self._registered_by_name.keys() - registered.keys()
+        for name in removed:
             item = self._registered_by_name.pop(name)
             self.rollout.note_gone(name)
             decisions += self._announce_registered(item, STATE_LEAVING, version, now)
@@ -287,7 +287,7 @@
         return self.announce(announcement, now)[1]
 
     def tick(self, now: float) -> list[Decision]:
-        """Do what time alone brings."""
+        """Run the timers that are due."""
         decisions: list[Decision] = []
         if now >= self._settled_at and self._held_by_id:
             decisions = self._register_held(now)
@@ -296,18 +296,18 @@
     def update_rate_limit(
         self, message: messages.UpstreamLimit, now: float
     ) -> list[Decision]:
-        """Take note of the limit that an answer of an upstream named."""
+        """Apply the rate limit that a response of an upstream stated."""
         return self._record_decisions(
             self.scheduler.update_rate_limit(rate_limit_update(message, now), now),
             now,
         )
 
     def review(self, fingerprints: frozenset[int], now: float) -> list[Decision]:
-        """Decide anew on copies of requests of whose crashes there is news."""
+        """Decide again on requests whose fingerprints have new crash evidence."""
         return self._record_decisions(self.scheduler.review(fingerprints, now), now)
 
     def take_events(self) -> list[UpstreamEvent]:
-        """Return what the owner has come to believe of upstreams."""
+        """Return the upstream events since the last call."""
         return self.scheduler.take_events()
 
     def next_wake(self, now: float) -> float:
@@ -338,7 +338,7 @@
         )
 
     def _reapply_selectors(self, now: float) -> list[Decision]:
-        """Have waiting requests use the upstreams that the labels choose now."""
+        """Apply the current labels and selectors to all waiting requests."""
         self._eligibility.clear()
         if self._config is None:
             return []
@@ -350,11 +350,11 @@
     def _reapply_selectors_to(
         self, request_id: str, config: Config, now: float
     ) -> list[Decision]:
-        """Register a waiting request anew when its tier or upstreams are others.
+        """Register a waiting request again if its tier or its upstreams have changed.
 
-        Withdrawing one request may grant another of the same round. Each decision
-        is noted at once, so that a request granted meanwhile is left alone: it
-        would be queued and granted a second time while it runs.
+        Cancelling one request may lead to the grant of another one. Decisions are
+        recorded at once, so that a request granted in the meantime is skipped;
+        otherwise it would be queued and granted a second time while it runs.
         """
         tracked = self.tracked_by_id.get(request_id)
         if tracked is None or tracked.granted:
--- a/bitterntiller/components/dispatch/ownership_buffer.py
+++ b/bitterntiller/components/dispatch/ownership_buffer.py
@@ -1,4 +1,4 @@
-"""Registrations that arrive before this host learns that it owns their pool."""
+"""Buffer for registrations that arrive before this host is known to own the pool."""
 
 from typing import Any, NamedTuple
 
@@ -12,18 +12,18 @@
 
 
 class OwnershipBuffer:
-    """Keeps registrations for a pool for a few seconds.
+    """Buffers registrations for a pool for a few seconds.
 
-    Hosts learn of a new owner with their own heartbeats, the owner itself perhaps last.
-    If registrations were dropped until then, the owner would not count work that runs,
-    and requests would wait for nothing.
+    Hosts receive a new owner with their own heartbeats, and the owner may be the last
+    one. If it dropped registrations until then, it would not count running requests,
+    and waiting requests would be delayed needlessly.
     """
 
     def __init__(self) -> None:
         self._buffered_by_pool: dict[str, list[_Buffered]] = {}
 
     def put(self, message: Any, now: float) -> None:
-        """Keep a Register or Reregister; beyond MOST_KEPT for a pool it is dropped."""
+        """Buffer a Register or Reregister; drop it beyond MAX_BUFFERED per pool."""
         buffered = self._buffered_by_pool.setdefault(message.pool, [])
         if buffered and now - buffered[0].at > BUFFER_SECONDS:
             buffered[:] = [item for item in buffered if now - item.at <= BUFFER_SECONDS]
@@ -32,10 +32,10 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether nothing is kept."""
+        """Return whether nothing is buffered."""
         return not self._buffered_by_pool
 
     def take(self, pool: str, now: float) -> list[Any]:
-        """Return and drop what arrived for a pool in the last seconds."""
+        """Remove and return what arrived for a pool within BUFFER_SECONDS."""
         buffered = self._buffered_by_pool.pop(pool, [])
         return [item.message for item in buffered if now - item.at <= BUFFER_SECONDS]
--- a/bitterntiller/components/dispatch/prefix.py
+++ b/bitterntiller/components/dispatch/prefix.py
@@ -1,4 +1,4 @@
-"""Which upstream probably holds which prompt prefix in its cache."""
+"""Tracks which prompt prefixes the caches of upstreams probably hold."""
 
 from collections import OrderedDict
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
 
 
 def prefix_tokens(level: int) -> int:
-    """Return about how many tokens the prefix of a level has; each doubles."""
+    """Return the approximate tokens of a prefix level, which double per level."""
     return FIRST_PREFIX_TOKENS << level
 
 
@@ -28,7 +28,7 @@
 
 
 class PrefixCache:
-    """What one upstream probably holds: least recently used goes first."""
+    """Prefixes in the cache of one upstream, with least-recently-used eviction."""
 
     def __init__(self, name: str, index: "PrefixIndex") -> None:
         self.name = name
@@ -44,9 +44,9 @@
     def cached_tokens(
         self, hashes: Sequence[int], prompt_tokens: int, lengths: Sequence[int] = ()
     ) -> int:
-        """Return how many prompt tokens are expected to be in the cache.
+        """Return the number of prompt tokens expected in the cache.
 
-        lengths are the tokens of the prefixes where they are known.
+        lengths are the token counts of the prefixes, if known.
         """
         cached_by_hash = self._cached_by_hash
         if not cached_by_hash:
@@ -70,7 +70,7 @@
         now: float,
         lengths: Sequence[int] = (),
     ) -> None:
-        """Note a prompt that was dispatched to the upstream."""
+        """Add the prefixes of a prompt that was sent to the upstream."""
         for level, prefix_hash in enumerate(hashes):
             own_tokens = lengths[level] if lengths else prefix_tokens(level)
             if level:
@@ -85,7 +85,7 @@
             self._drop(next(iter(self._cached_by_hash)))
 
     def update_trust(self, expected: int, cached: int) -> None:
-        """Compare the tokens expected in the cache with what the upstream told."""
+        """Compare the expected cached tokens with those that the upstream reported."""
         if expected <= 0:
             return
         ratio = min(cached * self.trust / expected, 1.0)
@@ -93,11 +93,11 @@
         self.trust = max(self.trust, MIN_TRUST)
 
     def apply_changes(self, changes: Sequence[CacheChange], now: float) -> None:
-        """Fold in cache events, which are late and may have gaps.
+        """Apply cache events, which are delayed and may have gaps.
 
-        A gap may have hidden removals: what was noted before it counts half
-        from then on. A removal that is told soon after an own dispatch is older
-        than the dispatch and is passed over, since the prompt is back by then.
+        A gap may have contained removals, so prefixes added before it count half from
+        then on. A removal reported shortly after a dispatch is ignored: it is older
+        than the dispatch, which has stored the prefix again.
         """
         for change in changes:
             expected = self._sequence
@@ -109,7 +109,7 @@
             self._apply_change(change, now)
 
     def clear(self) -> None:
-        """Forget all; the upstream was started anew."""
+        """Remove all prefixes, since the upstream has restarted."""
         for prefix_hash in list(self._cached_by_hash):
             self._drop(prefix_hash)
         self._sequence = None
@@ -125,7 +125,7 @@
             self._drop(change.prefix_hash)
 
     def _learn_capacity_fraction(self) -> None:
-        """Learn the size of the cache: a removal tells that it is full."""
+        """Learn the size of the cache, which is full when it removes a prefix."""
         if self._capacity <= 0:
             return
         seen = min(self._tokens / self._capacity, 1.0)
@@ -150,17 +150,17 @@
 
 
 class PrefixIndex:
-    """The names of the upstreams that probably hold a prefix."""
+    """Names of the upstreams that probably hold each prefix."""
 
     def __init__(self) -> None:
         self._names_by_hash: dict[int, dict[str, None]] = {}
 
     def add(self, prefix_hash: int, name: str) -> None:
-        """Note a holder."""
+        """Add an upstream that holds a prefix."""
         self._names_by_hash.setdefault(prefix_hash, {})[name] = None
 
     def discard(self, prefix_hash: int, name: str) -> None:
-        """Forget a holder."""
+        """Remove an upstream that no longer holds a prefix."""
         names = self._names_by_hash.get(prefix_hash)
         if names is None:
             return
@@ -169,9 +169,9 @@
             del self._names_by_hash[prefix_hash]
 
     def longest_match(self, hashes: Sequence[int]) -> tuple[int, dict[str, None]]:
-        """Return the level and the holders of the longest held prefix.
+        """Return the level and the upstreams of the longest cached prefix.
 
-        The level is -1 and there are no holders when none is held.
+        The level is -1 and there are no upstreams if none is cached.
         """
         for level in range(len(hashes) - 1, -1, -1):
             names = self._names_by_hash.get(hashes[level])
--- a/bitterntiller/components/dispatch/quota_counter.py
+++ b/bitterntiller/components/dispatch/quota_counter.py
@@ -1,4 +1,4 @@
-"""Decides over all hosts which requests their workspaces' quotas let through."""
+"""Quota decisions for the requests of all entry hosts."""
 
 from typing import NamedTuple
 
@@ -14,27 +14,28 @@
 
 LENT_FRACTION = 0.5
 LENDING_FLOOR_FRACTION = 0.5
-"""Part of what is left above half of a quota that hosts may use without asking, all of
-them together. Where less than half is left every request is asked for, large and small:
-what is lent to one of many hosts fits none but the smallest requests."""
+"""Entry hosts together are lent LENT_FRACTION of the quota that remains above
+LENDING_FLOOR_FRACTION of the limit, and use it without asking. Below the floor a host
+asks for every request, large or small, since the amount that one of many hosts could be
+lent fits only the smallest requests."""
 
 UNLIMITED = QuotaState(0.0, 0.0, 0.0, 0.0, 0.0, 0.0)
-"""What is told of a workspace that has no quota here; a change of it may be on its way
-to one of the two hosts."""
+"""State reported for a workspace without a quota here. The entry host may see another
+configuration, since a change of the quota may not have reached both hosts yet."""
 
 
 class QuotaContext(NamedTuple):
-    """What the count rests on: the configuration, and the part of hosts heard here."""
+    """The configuration, and the fraction of entry hosts that report here."""
 
     config: Config
     host_fraction: float
 
 
 class QuotaDecision(NamedTuple):
-    """What was decided on a request, and by what.
+    """A decision on a request, and the state that it was based on.
 
-    refused is None for one that is let through; waited is in seconds, ahead what was
-    before it in the line.
+    refusal is None if the request is admitted. waited is in seconds, and ahead is the
+    amount that was queued before the request.
     """
 
     request: QuotaRequest
@@ -45,7 +46,7 @@
 
 
 class QuotaCounter:
-    """The counting host's decisions; told of the time, and free of input and output."""
+    """Makes the decisions of the quota host, without any I/O or clock of its own."""
 
     def __init__(self, window: QuotaWindow) -> None:
         self.ledger = QuotaLedger(window)
@@ -54,7 +55,7 @@
     def decide(
         self, request: QuotaRequest, context: QuotaContext, now: float
     ) -> QuotaDecision | None:
-        """Decide on a request; None for one that waits in the line."""
+        """Decide on a request; return None if it was queued."""
         state = self._state(request.workspace, context, now)
         if state is None:
             return QuotaDecision(request, UNLIMITED)
@@ -72,7 +73,7 @@
     def decide_repeat(
         self, request: QuotaRequest, context: QuotaContext, now: float
     ) -> QuotaDecision:
-        """Decide on a request that has run and is to run once more; it never waits."""
+        """Decide on the repeat of a request that has already run; never queue it."""
         state = self._state(request.workspace, context, now)
         if state is None:
             return QuotaDecision(request, UNLIMITED)
@@ -82,7 +83,7 @@
         return self._apply(decision, now)
 
     def settle(self, host: str, numbers: list[int], now: float) -> list[QueuedRequest]:
-        """End reservations of a host; return what it waits for no more in a line."""
+        """End reservations of a host; return its requests removed from queues."""
         self.ledger.settle(host, numbers, now)
         queues = [
             queue for queue in self._queue_by_workspace.values() if queue.queued_amount
@@ -93,7 +94,7 @@
         return [queued for queued in cancelled if queued is not None]
 
     def decide_queued(self, context: QuotaContext, now: float) -> list[QuotaDecision]:
-        """Return what is decided now on requests that wait."""
+        """Return the decisions on queued requests that are due now."""
         decisions = []
         for name, queue in list(self._queue_by_workspace.items()):
             if queue.queued_amount:
@@ -118,14 +119,14 @@
             decisions.append(
                 _decision_on_queued(expired[0], state, now)._replace(refusal=expired[1])
             )
-        # The quota was taken away while requests waited for it.
+        # The quota was removed from the configuration while requests were queued.
         decisions += [
             _decision_on_queued(item, UNLIMITED, now) for item in queue.drain()
         ]
         return decisions
 
     def seconds_until_due(self, context: QuotaContext, now: float) -> float | None:
-        """Return in how many seconds due() may decide on something, None for never."""
+        """Return the seconds until decide_queued() is due, None if queues are empty."""
         waits = []
         for name, queue in self._queue_by_workspace.items():
             state = self._state(name, context, now) if queue.queued_amount else None
@@ -134,7 +135,7 @@
         return min(waits, default=None)
 
     def queued_amounts(self) -> dict[str, int]:
-        """Return what waits in each line that isn't empty, by workspace."""
+        """Return the queued amounts of all non-empty queues, by workspace."""
         queues = self._queue_by_workspace.items()
         return {
             name: queue.queued_amount for name, queue in queues if queue.queued_amount
@@ -148,7 +149,7 @@
         context: QuotaContext,
         now: float,
     ) -> dict[str, tuple[QuotaState, int]]:
-        """Return what is left to workspaces, and what a host may use without asking."""
+        """Lend amounts to a host; return state and lent amount by workspace."""
         self.ledger.set_lent(host, {})
         levels_by_workspace = {}
         for name in workspaces:
@@ -165,7 +166,7 @@
         return levels_by_workspace
 
     def forget_host(self, host: str, now: float) -> list[QueuedRequest]:
-        """Forget a host that reports no more; return its requests that waited."""
+        """Forget a host that stopped reporting; return its queued requests."""
         self.ledger.forget_host(host, now)
         cancelled = []
         for queue in self._queue_by_workspace.values():
@@ -191,7 +192,7 @@
 
 
 def _lendable(state: QuotaState) -> float:
-    """Return what all hosts together may use of a quota without asking."""
+    """Return how much of a quota may be lent to all hosts together."""
     spare = min(
         state.remaining - LENDING_FLOOR_FRACTION * state.limit,
         state.level - LENDING_FLOOR_FRACTION * state.depth,
--- a/bitterntiller/components/dispatch/quota_queue.py
+++ b/bitterntiller/components/dispatch/quota_queue.py
@@ -1,17 +1,18 @@
-"""The queue of requests that are over a workspace's quota.
+"""The queue of requests that exceed a workspace's quota.
 
-A request that finds the queue empty and enough of the quota is admitted at once. Others
-wait in order of arrival for as long as they can still meet their objective. If the
-queue is too long for that they are refused at once, with the time at which to retry,
-for which an amount is reserved.
+A request is admitted at once if the queue is empty and enough of the quota remains.
+Other requests wait in order of arrival for as long as they can still meet their
+objective. If the queue is too long for that, they are refused at once with a time to
+retry, for which an amount is reserved where possible.
 
-A kind of request that asks for less than its fair share of the quota's rate doesn't
-wait: refusing calls that count little would gain next to nothing for long prompts.
+Requests of a kind that uses less than its fair share of the quota's rate are not
+queued: refusing calls that count little would gain next to nothing for long prompts.
 
-The others are treated alike whatever their size: the head of the queue is admitted when
-there is enough for the largest recent request, and the limit on the queue's length does
-not depend on who asks. If whatever fits were admitted, small requests would use up each
-small amount that becomes free, and the largest would hardly ever be admitted.
+All other requests are treated alike whatever their size: the head of the queue is
+admitted when the remaining quota suffices for the largest recent request, and the limit
+on the queue's length is the same for all. If every request that fits were admitted,
+small requests would use up each amount that becomes available, and the largest ones
+would hardly ever be admitted.
 """
 
 from collections import deque
@@ -28,35 +29,37 @@
 from bitterntiller.core.decaying import DecayingSum, WindowedMaximum
 
 LARGEST_REQUEST_SECONDS = 30.0
-"""How long a request counts as the largest of its workspace."""
+"""Time window over which the largest request of a workspace is determined."""
 
 LARGEST_REQUEST_FRACTION = 0.1
-"""Largest part of a quota that the head of the queue waits for on behalf of the largest
-request. As much stays unused while a workspace asks for more, and a single request that
-is larger still would block all others of a small quota."""
+"""Upper bound, as a fraction of the quota, of the amount that the head of the queue
+waits for on behalf of the largest request. That amount stays unused while a workspace
+exceeds its quota, and without the bound a single larger request would block all others
+of a small quota."""
 
 SHARE_SECONDS = 2.0
-"""How long the share that a kind of request asks for is counted: longer than the gaps
-between a workspace's requests, shorter than most bursts."""
+"""Decay time of the usage per kind of request: longer than the gaps between requests of
+a workspace, shorter than most bursts."""
 
 MAX_KINDS = 64
-"""Kinds of one workspace whose shares are counted; more are counted as one."""
+"""Kinds tracked separately per workspace; further ones share one counter."""
 
 BUCKET_FRACTION = 0.5
-"""Largest part of a bucket that the head of the queue waits for; what is lent to hosts
-leaves as much. A larger request takes the bucket below 0."""
+"""Upper bound, as a fraction of the bucket's depth, of the amount that the head of the
+queue waits for; lending to hosts leaves as much in the bucket. A larger request makes
+the bucket's level negative."""
 
 MAX_QUEUED = 1000
-"""Requests in the queue of one workspace; further ones are refused."""
+"""Queued requests per workspace; further ones are refused."""
 
 
 class QuotaRequest(NamedTuple):
-    """A request that asks for an amount of its workspace's quota.
+    """A request for an amount of a workspace's quota.
 
-    patience is how long it may wait, latest_retry the latest return that its caller
-    would make, both in seconds; retry_fingerprint is equal for a request and its later
-    copies. reservation is the host's own number for what it asks. A quota is shared
-    between the kinds of its workspace's requests.
+    patience is how long the request may wait, and latest_retry the latest retry that
+    its caller would make, both in seconds from now. retry_fingerprint is equal for a
+    request and its retries. reservation is the host's number for the reservation. A
+    quota is shared between the kinds of requests of a workspace.
     """
 
     host: str
@@ -71,7 +74,7 @@
 
 
 class QueuedRequest(NamedTuple):
-    """A request in the queue: since when, until when, and the amount ahead of it."""
+    """A queued request, and the amount that was queued ahead of it."""
 
     request: QuotaRequest
     queued_at: float
@@ -80,9 +83,9 @@
 
 
 def max_min_share(requested_amounts: Iterable[float], total: float) -> float:
-    """Return the most that each may have of a whole so that all get alike.
+    """Return the max-min fair share of a total.
 
-    Who asks for less than an even part leaves the rest of it to the others.
+    Whoever requests less than an even share leaves the rest of it to the others.
     """
     remaining = total
     ascending = sorted(requested_amounts)
@@ -95,7 +98,7 @@
 
 
 class QuotaQueue:
-    """The queue of one workspace, and its reservations for retries."""
+    """The queue of one workspace and its reservations for retries."""
 
     def __init__(self) -> None:
         self._queue: deque[QueuedRequest] = deque()
@@ -110,14 +113,14 @@
         return self._queued_amount
 
     def is_idle(self, now: float) -> bool:
-        """Tell whether nothing is queued, reserved or remembered."""
+        """Return whether the queue has no requests, reservations or recent usage."""
         has_pending = self._queue or self._reservations.has_pending(now)
         return not has_pending and not self._largest.most(now)
 
     def submit(
         self, request: QuotaRequest, state: QuotaState, now: float
     ) -> QueuedRequest | QuotaRefusal | None:
-        """Return None when admitted at once, the place in the queue, or a refusal."""
+        """Return None if admitted at once, the queued request, or a refusal."""
         if request.amount > state.total_limit:
             return QuotaRefusal(MAX_RETRY_AFTER_SECONDS, False)
         below_share = self._record_and_check_share(request, state, now)
@@ -141,7 +144,7 @@
         return queued
 
     def pop_admissible(self, state: QuotaState, now: float) -> QueuedRequest | None:
-        """Take the first of the line if there is enough for it."""
+        """Remove and return the head of the queue if it can be admitted."""
         if not self._queue:
             return None
         if not self._is_admissible(self._queue[0].request.amount, state, now):
@@ -151,7 +154,7 @@
     def pop_expired(
         self, state: QuotaState, now: float
     ) -> tuple[QueuedRequest, QuotaRefusal] | None:
-        """Take the first of those that have waited for as long as they may."""
+        """Remove and refuse the first request whose waiting time is over."""
         expired = next((item for item in self._queue if item.expires_at <= now), None)
         if expired is None:
             return None
@@ -160,7 +163,7 @@
         return expired, self._refuse(expired.request, state, wait, now)
 
     def cancel(self, host: str, reservation: int) -> QueuedRequest | None:
-        """Take a request out of the line whose host waits for it no more."""
+        """Remove a request that its host no longer waits for."""
         for queued in self._queue:
             if (queued.request.host, queued.request.reservation) == (host, reservation):
                 self._remove(queued)
@@ -168,21 +171,21 @@
         return None
 
     def drain(self) -> list[QueuedRequest]:
-        """Take all requests out of the line."""
+        """Remove and return all requests."""
         cancelled = list(self._queue)
         self._queue.clear()
         self._queued_amount = 0
         return cancelled
 
     def cancel_host(self, host: str) -> list[QueuedRequest]:
-        """Take all requests of a host out of the line."""
+        """Remove and return all requests of a host."""
         cancelled = [item for item in self._queue if item.request.host == host]
         for queued in cancelled:
             self._remove(queued)
         return cancelled
 
     def seconds_until_due(self, state: QuotaState, now: float) -> float | None:
-        """Return in how many seconds the line may move, None for an empty one."""
+        """Return the seconds until the queue may change, None if it is empty."""
         if not self._queue:
             return None
         patience = min(queued.expires_at for queued in self._queue) - now
@@ -209,9 +212,10 @@
     def _record_and_check_share(
         self, request: QuotaRequest, state: QuotaState, now: float
     ) -> bool:
-        """Note an ask; tell whether its kind asks for little beside others.
+        """Record a request; return whether its kind uses no more than its fair share.
 
-        That is for no more than its even share, while others ask for more than theirs.
+        This holds only while other kinds use more than theirs, and never while a
+        request of the same kind is queued.
         """
         kind = request.kind
         if (
@@ -230,9 +234,9 @@
         return own <= max_min_share(requested_amounts, total) < total
 
     def _may_overdraw(self, amount: int, state: QuotaState, now: float) -> bool:
-        """Tell whether a kind that asks for little may go into debt at the bucket.
+        """Return whether a kind below its fair share may make the bucket negative.
 
-        The others wait for it to be paid back; the window has room all the same.
+        Other kinds wait until the debt is refilled. The window limit still holds.
         """
         if amount > state.remaining - self._reserved_for_retries(state, now):
             return False
@@ -254,7 +258,7 @@
         return max(self._reserve_for_largest(state, now), amount)
 
     def _expected_wait(self, state: QuotaState, now: float) -> float:
-        """Return how long a newcomer would wait, whatever its size."""
+        """Return how long a new request would wait, whatever its size."""
         needed = self._queued_amount + self._reserved_for_retries(state, now)
         missing = max(
             self._bucket_needed(state, now) + needed - state.level,
@@ -267,7 +271,7 @@
     def _refuse(
         self, request: QuotaRequest, state: QuotaState, wait: float, now: float
     ) -> QuotaRefusal:
-        """Return the time at which a request may return, and keep room if it can."""
+        """Refuse a request with a time to retry, and reserve its amount if possible."""
         reservation = RetryReservation(
             request.retry_fingerprint, request.amount, now + wait
         )
--- a/bitterntiller/components/dispatch/quota_service.py
+++ b/bitterntiller/components/dispatch/quota_service.py
@@ -1,4 +1,4 @@
-"""Answers hosts that ask for an amount of a quota, at once or when there is enough."""
+"""Replies to quota requests of entry hosts, at once or after a wait in the queue."""
 
 from collections.abc import Callable
 from typing import Any
@@ -23,18 +23,18 @@
 
 MIN_CHECK_INTERVAL = 0.002
 MAX_CHECK_INTERVAL = 0.05
-"""Seconds between two checks of queues in which requests wait. The longer one bounds
-the delay after a change of the configuration, or a report that gives something back."""
+"""Bounds of the seconds between two checks of non-empty queues. The upper bound limits
+the delay after a configuration change or a report that releases an amount."""
 
 _Key = tuple[str, int]
-"""A host, and its number for a reservation."""
+"""An entry host and its number for a reservation."""
 
 ReadContext = Callable[[], QuotaContext | None]
-"""Returns what the count rests on now, None while this host may not count."""
+"""Returns the current quota context, None while this host must not decide."""
 
 
 class QuotaService:
-    """Takes messages.QuotaAsk, and answers each when it is decided."""
+    """Handles messages.QuotaAsk and replies to each once it is decided."""
 
     def __init__(
         self, runtime: Runtime, counter: QuotaCounter, context: ReadContext
@@ -44,45 +44,45 @@
         self._metrics = runtime.metrics
         self._counter = counter
         self._read_context = context
-        self._answers_by_key: dict[_Key, curio.Queue] = {}
+        self._replies_by_key: dict[_Key, curio.Queue] = {}
         self._queues_changed = curio.Event()
 
     async def async_on_ask(self, _host: str, message: Any) -> Any:
-        """Answer one messages.QuotaAsk, after a wait in the queue if need be."""
+        """Reply to a messages.QuotaAsk, after a wait in the queue if necessary."""
         context = self._read_context()
         if context is None:
             return self._not_counting()
         now = self._clock.now()
         request = _quota_request(message)
         if message.repeat:
-            return self._answer(self._counter.decide_repeat(request, context, now))
+            return self._build_reply(self._counter.decide_repeat(request, context, now))
         decision = self._counter.decide(request, context, now)
         if decision is not None:
-            return self._answer(decision)
+            return self._build_reply(decision)
         self._metrics.count(const.METRIC_QUOTA_WAITS)
         return await self._async_wait(request)
 
     async def _async_wait(self, request: QuotaRequest) -> Any:
         key = _key(request)
-        answers = self._answers_by_key[key] = curio.Queue()
+        replies = self._replies_by_key[key] = curio.Queue()
         await self._queues_changed.set()
         try:
-            return await answers.get()
+            return await replies.get()
         finally:
-            if self._answers_by_key.get(key) is answers:
-                del self._answers_by_key[key]
+            if self._replies_by_key.get(key) is replies:
+                del self._replies_by_key[key]
 
     async def async_check_queues(self) -> None:
-        """Check the queues now: something was given back, or requests have left."""
+        """Check the queues now: an amount was released, or requests were removed."""
         await self._queues_changed.set()
 
     async def async_reject(self, cancelled: list[QueuedRequest]) -> None:
-        """Answer requests that were taken out of the queue undecided."""
+        """Reply to requests that were removed from a queue without a decision."""
         for queued in cancelled:
-            await self._async_answer(_key(queued.request), self._not_counting())
+            await self._async_reply(_key(queued.request), self._not_counting())
 
     async def async_run(self) -> None:
-        """Decide on what waits, until cancelled."""
+        """Decide on queued requests, until cancelled."""
         while True:
             self._queues_changed.clear()
             context = self._read_context()
@@ -92,16 +92,16 @@
                 continue
             now = self._clock.now()
             for decision in self._counter.decide_queued(context, now):
-                answer = self._answer(decision)
-                await self._async_answer(_key(decision.request), answer)
+                reply = self._build_reply(decision)
+                await self._async_reply(_key(decision.request), reply)
             await self._async_pause(self._counter.seconds_until_due(context, now))
 
     async def _async_stop_counting(self) -> None:
-        for key in list(self._answers_by_key):
-            await self._async_answer(key, self._not_counting())
+        for key in list(self._replies_by_key):
+            await self._async_reply(key, self._not_counting())
 
     async def _async_pause(self, seconds_until_due: float | None) -> None:
-        if seconds_until_due is None and not self._answers_by_key:
+        if seconds_until_due is None and not self._replies_by_key:
             await self._queues_changed.wait()
             return
         pause = MAX_CHECK_INTERVAL if seconds_until_due is None else seconds_until_due
@@ -109,18 +109,18 @@
         async with curio.ignore_after(pause):
             await self._queues_changed.wait()
 
-    async def _async_answer(self, key: _Key, answer: Any) -> None:
-        answers = self._answers_by_key.pop(key, None)
-        if answers is not None:
-            await answers.put(answer)
+    async def _async_reply(self, key: _Key, reply: Any) -> None:
+        replies = self._replies_by_key.pop(key, None)
+        if replies is not None:
+            await replies.put(reply)
 
-    def _answer(self, decision: QuotaDecision) -> Any:
+    def _build_reply(self, decision: QuotaDecision) -> Any:
         log_quota(decision)
         refusal = decision.refusal
-        kind = QUOTA_RESERVED if refusal is None else QUOTA_REFUSED
-        self._metrics.count(f"{const.METRIC_QUOTA}.{kind}")
+        status = QUOTA_RESERVED if refusal is None else QUOTA_REFUSED
+        self._metrics.count(f"{const.METRIC_QUOTA}.{status}")
         return messages.QuotaAnswer(
-            status=kind,
+            status=status,
             left=int(decision.state.remaining),
             paced=int(decision.state.level),
             ahead=decision.ahead,
--- a/bitterntiller/components/dispatch/quotas.py
+++ b/bitterntiller/components/dispatch/quotas.py
@@ -1,4 +1,4 @@
-"""What workspaces have used of their quotas, and what is set aside, over all hosts."""
+"""Usage and set-aside amounts of workspace quotas, summed over all entry hosts."""
 
 from collections import Counter
 from typing import NamedTuple
@@ -7,20 +7,20 @@
 from bitterntiller.components.settings.models import Bucket, QuotaWindow
 
 WINDOW_SLICES = 40
-"""Parts of a window in which use is summed up; what is older than a window leaves by
-these steps."""
+"""Slices per window. Usage is summed per slice and leaves the window slice by slice."""
 
 RESERVATION_EXPIRY_SECONDS = 60.0
-"""How long a reservation is kept that nobody settles: longer than any request waits. It
-is left over when both the answer and the report that settles it are lost."""
+"""Time after which an unsettled reservation is released; longer than any request waits.
+A reservation stays unsettled if both the reply and the settling report are lost."""
 
 
 class QuotaState(NamedTuple):
-    """What is left of a workspace's quota, in its unit.
+    """Remaining quota of a workspace, in the unit of its quota.
 
-    left is what is left of the window and level what a token bucket holds, each less
-    what is set aside. most is what a window allows to the hosts that report here, whole
-    what it allows to all of them; rate and depth are the bucket's.
+    remaining is the unused amount of the window and level the content of the token
+    bucket, each minus what is set aside. limit is what a window allows to the entry
+    hosts that report here, total_limit what it allows to all entry hosts. rate and
+    depth are those of the token bucket.
     """
 
     remaining: float
@@ -32,7 +32,7 @@
 
 
 class _Reservation(NamedTuple):
-    """An amount set aside at a time for one request."""
+    """An amount set aside for one request, and the time of the reservation."""
 
     workspace: str
     amount: int
@@ -40,14 +40,14 @@
 
 
 class _WindowUsage:
-    """What a workspace has used within the last window, by slices of time."""
+    """Usage of a workspace within the last window, by time slice."""
 
     def __init__(self, seconds: float) -> None:
         self._seconds = seconds
         self._amount_by_slice: dict[int, float] = {}
 
     def add(self, amount: float, when: float, now: float) -> None:
-        """Note an amount used at a time; below 0 takes one back that was noted then."""
+        """Add an amount used at a time; a negative amount reverts an earlier one."""
         number = int(when * WINDOW_SLICES / self._seconds)
         if number < self._oldest(now):
             return
@@ -55,7 +55,7 @@
         self._amount_by_slice[number] = known + amount
 
     def sum(self, now: float) -> float:
-        """Return what was used within the window that ends now."""
+        """Return the amount used within the window that ends now."""
         oldest = self._oldest(now)
         for passed in [item for item in self._amount_by_slice if item < oldest]:
             del self._amount_by_slice[passed]
@@ -65,9 +65,9 @@
         return int(now * WINDOW_SLICES / self._seconds) - WINDOW_SLICES
 
     def level(self, bucket: Bucket, now: float) -> float:
-        """Return what a token bucket holds that was full a window ago.
+        """Return the content of a token bucket that was full one window ago.
 
-        Below 0 is what was used beyond it.
+        It is below 0 if more was used than the bucket held.
         """
         self.sum(now)
         width = self._seconds / WINDOW_SLICES
@@ -81,20 +81,21 @@
 
 
 class QuotaLedger:
-    """Counts the use of the window that has just passed, and what is set aside.
+    """Tracks the usage of a sliding window and the amounts that are set aside.
 
-    Set aside is what was reserved for a request until its host settles it, what a host
-    holds of its own for requests that wait, and what a host was lent to use without
-    asking. A host that is lost may have used all of that, or may still do so when it
-    wakes up: it counts as used from the moment at which the host is forgotten.
+    Set aside are amounts reserved for a request until its host settles them, amounts
+    that a host holds for its waiting requests, and amounts lent to a host, which it may
+    use without asking. A lost host may have used all of these, or may still do so once
+    it recovers, so they count as used from the time at which the host is forgotten.
 
-    The window counts from the sendings, which a rule of the deployment may do as well.
-    The bucket counts a reservation from its making: requests that wait for an upstream
-    would else keep those after them from being let through at the quota's rate.
+    The window counts usage from the time of sending, as a rule of the deployment may.
+    The bucket counts a reservation from the time at which it was made; otherwise
+    requests that wait for an upstream would keep later requests from being admitted at
+    the quota's rate.
 
-    A new ledger knows nothing, and is told by each entry host what that host has sent
-    in the whole window, and when: with nothing counted, each change of the counting
-    host would add a whole window.
+    A new ledger is empty. Each entry host reports what it has sent within the whole
+    window, and when; without these reports, each change of the quota host would grant
+    another full window.
     """
 
     def __init__(self, window: QuotaWindow) -> None:
@@ -110,7 +111,7 @@
     def record_usage(
         self, workspace: str, amount: float, age: float, now: float
     ) -> None:
-        """Note an amount that was used some seconds ago."""
+        """Record an amount that was used age seconds ago."""
         self._find_or_add(self._usage_by_workspace, workspace).add(
             amount, now - age, now
         )
@@ -127,15 +128,15 @@
         return found
 
     def set_held(self, host: str, held_by_workspace: dict[str, int]) -> None:
-        """Note all that a host holds of its own now, for requests that wait."""
+        """Replace the amounts that a host holds for its waiting requests."""
         self._replace_amounts(self._held_by_host, host, held_by_workspace)
 
     def set_lent(self, host: str, lent_by_workspace: dict[str, int]) -> None:
-        """Note what a host may use without asking, in place of what it was lent."""
+        """Replace the amounts lent to a host, which it may use without asking."""
         self._replace_amounts(self._lent_by_host, host, lent_by_workspace)
 
     def lent(self, host: str) -> dict[str, int]:
-        """Return what a host may use without asking, by workspace."""
+        """Return the amounts lent to a host, by workspace."""
         return self._lent_by_host.get(host, {})
 
     def _replace_amounts(
@@ -151,7 +152,7 @@
     def reserve(
         self, host: str, number: int, workspace: str, amount: int, now: float
     ) -> None:
-        """Set an amount aside under a host's own number."""
+        """Set an amount aside under a reservation number of the host."""
         reserved = self._reserved_by_host.setdefault(host, {})
         reserved[number] = _Reservation(workspace, amount, now)
         self._reserved_by_workspace[workspace] += amount
@@ -160,11 +161,11 @@
         )
 
     def is_reserved(self, host: str, number: int) -> bool:
-        """Tell whether a host's reservation is set aside here."""
+        """Return whether a reservation of a host is set aside here."""
         return number in self._reserved_by_host.get(host, ())
 
     def settle(self, host: str, numbers: list[int], now: float) -> None:
-        """End reservations that were used, which is told as use, or given up."""
+        """End reservations: those used, which are reported as usage, or given up."""
         reserved = self._reserved_by_host.get(host, {})
         for number in numbers:
             found = reserved.pop(number, None)
@@ -179,7 +180,7 @@
         )
 
     def forget_host(self, host: str, now: float) -> None:
-        """Count what a host that reports no more has set aside as used now."""
+        """Count all that is set aside for a lost host as used now."""
         aside = Counter(self._held_by_host.pop(host, {}))
         aside.update(self._lent_by_host.pop(host, {}))
         self._set_aside_by_workspace.subtract(aside)
@@ -191,7 +192,7 @@
                 self.record_usage(workspace, amount, 0.0, now)
 
     def expire_reservations(self, now: float) -> None:
-        """Give back reservations that nobody has settled."""
+        """Release reservations that were not settled in time."""
         oldest = now - RESERVATION_EXPIRY_SECONDS
         for host, reserved in self._reserved_by_host.items():
             old = [number for number, item in reserved.items() if item.at < oldest]
@@ -200,15 +201,15 @@
     def state(
         self, workspace: str, config: Config, host_fraction: float, now: float
     ) -> QuotaState | None:
-        """Return what is left to a workspace, None for one without a quota.
+        """Return the remaining quota of a workspace, or None if it has no quota.
 
-        part is the part of the deployment's entry hosts that report here: when some are
-        cut off they have a ledger of their own, and whole limits in both would add up
-        to two.
+        host_fraction is the fraction of the deployment's entry hosts that report here.
+        Entry hosts that are cut off have a ledger of their own, and full limits in both
+        would add up to twice the quota.
 
-        By the window alone, a workspace that asks for several times its quota gets all
-        of it in two seconds and nothing in the next six, when also what is within its
-        rate is refused. So it gets what a token bucket holds.
+        With the window alone, a workspace that requests several times its quota would
+        use all of it within two seconds and get nothing for the next six, in which even
+        requests within its rate are refused. The token bucket spreads the usage.
         """
         found = config.workspaces_by_name.get(workspace)
         if found is None or found.quota is None:
@@ -231,11 +232,11 @@
         )
 
     def _bucket(self, quota: Quota, host_fraction: float) -> Bucket:
-        """Return the token bucket of the hosts that report here.
+        """Return the token bucket of the entry hosts that report here.
 
-        Use leaves the window by whole slices, so that up to one more than the window is
-        counted. A bucket of the whole depth would hold what the window does not have
-        yet, and a request that returns at its time would be refused for it.
+        Usage leaves the window in whole slices, so up to one slice more than the window
+        is counted. A bucket of full depth would hold an amount that the window does not
+        have yet, and a request that is retried at the stated time would be refused.
         """
         rate, depth = self._window.bucket(quota.rate, quota.burst)
         slice_ = rate * self._window.seconds / WINDOW_SLICES
--- a/bitterntiller/components/dispatch/rate_meters.py
+++ b/bitterntiller/components/dispatch/rate_meters.py
@@ -1,4 +1,4 @@
-"""Rates that decay with time, and the hint when to come back."""
+"""Decaying rate and capacity meters, and the Retry-After of refusals."""
 
 import math
 import random
@@ -11,7 +11,7 @@
 
 
 class RateMeter:
-    """An exponentially weighted rate of amounts per second."""
+    """An exponentially decaying rate of amounts per second."""
 
     __slots__ = ("_at", "_begin", "_seconds", "_sum")
 
@@ -22,19 +22,19 @@
         self._begin = now
 
     def add(self, amount: float, now: float) -> None:
-        """Note an amount."""
+        """Add an amount."""
         self._decay(now)
         self._sum += amount
 
     def rate(self, now: float) -> float:
-        """Return the amount per second; a young meter divides by its age."""
+        """Return the amount per second; a new meter divides by its age."""
         self._decay(now)
         age = now - self._begin
         window = self._seconds * -math.expm1(-age / self._seconds)
         return self._sum / max(window, 0.1)
 
     def unobserved_fraction(self, now: float) -> float:
-        """Return the part of its window that the meter has not seen yet, 1 to 0."""
+        """Return the fraction of the window before the meter started, from 1 to 0."""
         return max(0.0, 1.0 - (now - self._begin) / self._seconds)
 
     def _decay(self, now: float) -> None:
@@ -44,10 +44,10 @@
 
 
 class CapacityMeter:
-    """How much work a second the pool takes while work waits for it.
+    """Measures the work per second that the pool takes on under backlog.
 
-    Only intervals that had a backlog from end to end tell the capacity; in the
-    others the arrivals bound the rate. Work is in seconds of expected service.
+    Only intervals with a backlog at both ends measure the capacity; in the others the
+    rate is bounded by arrivals. Work is in seconds of expected service.
     """
 
     def __init__(self, seconds: float) -> None:
@@ -59,11 +59,11 @@
         self._weight = 0.0
 
     def add_granted(self, work: float) -> None:
-        """Note work that was granted."""
+        """Add granted work."""
         self._granted += work
 
     def close_interval(self, saturated: bool, now: float) -> None:
-        """Close an interval; saturated tells whether work waits at its end."""
+        """Close an interval; saturated is true if work waits at its end."""
         elapsed = now - self._since
         if elapsed <= 0:
             return
@@ -77,17 +77,16 @@
         self._saturated = saturated
 
     def capacity(self, assumed: float) -> float:
-        """Return work a second, from assumed until enough is measured."""
+        """Return work per second, starting at assumed until enough is measured."""
         weight = min(1.0, 2 * self._weight)
         measured = max(self._capacity, 0.05 * assumed)
         return weight * measured + (1 - weight) * assumed
 
 
 def jittered_retry_after(seconds: float, rng: random.Random) -> float:
-    """Return when to come back, from the time that the backlog needs to drain.
+    """Return the Retry-After seconds for the time that the backlog needs to drain.
 
-    The jitter keeps callers that were refused together from coming back
-    together.
+    The jitter keeps callers that were refused together from retrying together.
     """
     spread = 1.0 + RETRY_JITTER * rng.random()
     return min(max(seconds, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS) * spread
--- a/bitterntiller/components/dispatch/reports.py
+++ b/bitterntiller/components/dispatch/reports.py
@@ -1,4 +1,4 @@
-"""Answers the reports of entry hosts that have chosen this host as an owner."""
+"""Receives the reports of entry hosts that use this host as an owner of pools."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from typing import Any, NamedTuple
@@ -14,24 +14,24 @@
 
 REPORT_TIMEOUT = 1.5
 MAX_MISSED_REPORTS = 3
-"""Seconds without a report, and announced periods of reports, after which an entry host
-has turned to another owner.
+"""Seconds without a report, and number of announced report periods, after both of which
+an entry host is taken to use another owner.
 
-What the host has here would otherwise count as running for ever, since its end is told
-to the owner it has turned to.
+Otherwise the requests of that host would count as running here for ever, since their
+ends are reported to the other owner.
 """
 
 CHECK_PERIOD = 0.5
 
 DropHost = Callable[[str], Awaitable[None]]
 ForgetEnded = Callable[[str, list[str]], Awaitable[None]]
-"""Takes an entry host and the ids of requests that have ended there."""
+"""Called with an entry host and the ids of requests that have ended there."""
 
 
 class _Reporter(NamedTuple):
-    """One process that reports here: when it is taken for lost without another report.
+    """A process that reports here, and when it expires without a further report.
 
-    counting tells that this host counts the quotas for it.
+    counting is true if this host counts the quotas for it.
     """
 
     incarnation: str
@@ -40,7 +40,7 @@
 
 
 class ReportReceiver:
-    """Keeps who reports here, and the quotas of workspaces."""
+    """Tracks the entry hosts that report here and counts quotas for them."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self._entry_host_count = 0
 
     async def async_on_report(self, _host: str, report: Any) -> Any:
-        """Answer a messages.EntryReport."""
+        """Process a messages.EntryReport and return the reply."""
         now = self._runtime.clock.now()
         within = (report.within_ms or 0) / 1000
         timeout = max(REPORT_TIMEOUT, MAX_MISSED_REPORTS * within)
@@ -92,12 +92,12 @@
             return
         self._counted_hosts -= 1
         if not reporter.counting or reporter.incarnation != previous.incarnation:
-            # It has turned to another counting host, or was started anew, and will
-            # settle nothing of before here.
+            # The host uses another quota host now or was restarted, and will not settle
+            # its earlier reservations here.
             await self.quotas.async_reject(self._counter.forget_host(host, now))
 
     async def _async_update_quotas(self, report: Any, now: float) -> list[Any]:
-        """Take what a host has used, and tell it what is left and what it is lent."""
+        """Record the usage of a host; return its quota levels and lent amounts."""
         counter = self._counter
         for item in report.used:
             counter.ledger.record_usage(
@@ -130,13 +130,13 @@
         return self._lease.valid() and self._config.version > 0
 
     def _quota_context(self) -> QuotaContext | None:
-        """Return what the count of quotas rests on, None while this host may not."""
+        """Return the quota context, None while this host must not decide on quotas."""
         if not self._ready():
             return None
         return QuotaContext(self._config.config, self._host_fraction())
 
     def _host_fraction(self) -> float:
-        """Return the part of the known entry hosts whose quotas are counted here."""
+        """Return the fraction of all entry hosts whose quotas are counted here."""
         hosts = self._directory.hosts_by_name
         if hosts is not self._directory_hosts:
             self._directory_hosts = hosts
@@ -145,7 +145,7 @@
         return min(1.0, self._counted_hosts / max(1, self._entry_host_count))
 
     async def async_run(self) -> None:
-        """Forget the entry hosts that report no more, until cancelled."""
+        """Forget entry hosts that stopped reporting, until cancelled."""
         while True:
             now = self._runtime.clock.now()
             for host, reporter in list(self._reporter_by_host.items()):
@@ -161,7 +161,7 @@
         await self._drop_host(host)
 
     def describe(self) -> dict[str, Any]:
-        """Return the state of the desk for the dump of the process."""
+        """Return the state of the receiver for the state dump."""
         return {
             "reporting": len(self._reporter_by_host),
             "counting": self._counted_hosts,
--- a/bitterntiller/components/dispatch/retry_reservations.py
+++ b/bitterntiller/components/dispatch/retry_reservations.py
@@ -1,31 +1,31 @@
-"""Amounts of a quota that are reserved for retries at the time that was told."""
+"""Amounts of a quota that are reserved for retries at the time stated to callers."""
 
 from collections import deque
 from typing import NamedTuple
 
 RETRY_RATE_FRACTION = 0.25
-"""Part of the rate that is reserved for retries. With all of it, a workspace far over
-its quota would have every request served late, at its retry."""
+"""Fraction of the quota's rate that is reserved for retries. With all of it, every
+request of a workspace far over its quota would be served late, on its retry."""
 
 RETRY_GRACE_SECONDS = 0.5
-"""How long after its time a reservation is kept: a new connection and the caller's own
-timer take some of it."""
+"""How long after its due time a reservation is kept. A new connection and the caller's
+timer take some of this."""
 
 EARLY_RETRY_SECONDS = 0.05
-"""How much before its time a retry is accepted; timers of callers are not exact."""
+"""How early a retry is accepted, since timers of callers are not exact."""
 
 MIN_RETRY_AFTER_SECONDS = 0.2
 MAX_RETRY_AFTER_SECONDS = 30.0
-"""Seconds that a caller over its workspace's quota is told to wait."""
+"""Bounds of the Retry-After of requests over their workspace's quota."""
 
 MAX_RESERVATIONS = 1000
-"""Reservations of one workspace at most; it bounds their memory."""
+"""Reservations per workspace; bounds their memory."""
 
 
 class RetryReservation(NamedTuple):
-    """An amount that is reserved for a retry, from due until the grace has passed.
+    """An amount reserved for a retry from its due time until the end of the grace time.
 
-    retry_fingerprint is equal for a request and its later copies.
+    retry_fingerprint is equal for a request and its retries.
     """
 
     retry_fingerprint: int
@@ -34,21 +34,21 @@
 
 
 class QuotaRefusal(NamedTuple):
-    """When to retry, in seconds, and whether the amount is reserved for then."""
+    """Seconds until the retry, and whether an amount is reserved for it."""
 
     retry_after: float
     retry_reserved: bool
 
 
 class RetryReservations:
-    """The reservations of one workspace, by their times."""
+    """The reservations of one workspace, in order of their due times."""
 
     def __init__(self) -> None:
         self._reservations: deque[RetryReservation] = deque()
         self._reserved_until = 0.0
 
     def has_pending(self, now: float) -> bool:
-        """Tell whether any retry is awaited."""
+        """Return whether any reservation is pending."""
         self._drop_expired(now)
         return bool(self._reservations)
 
@@ -58,7 +58,7 @@
         """Reserve an amount for a retry at reservation.due or later.
 
         latest is the latest time at which the caller would retry; nothing is reserved
-        beyond it. rate is that of the quota, in its unit a second.
+        after it. rate is the quota's rate, in its unit per second.
         """
         matching = (
             item
@@ -80,7 +80,7 @@
         return QuotaRefusal(retry_after, True)
 
     def redeem(self, retry_fingerprint: int, now: float) -> bool:
-        """Use the room that is kept for a request, if it returns at its time."""
+        """Use the reservation of a retried request; return whether one is due."""
         self._drop_expired(now)
         for reservation in self._reservations:
             if reservation.due > now + EARLY_RETRY_SECONDS:
@@ -91,11 +91,12 @@
         return False
 
     def reserved_now(self, rate: float, largest: float, now: float) -> float:
-        """Return what must be left now for all returns to find room at their times.
+        """Return the amount that must remain now for all reservations to be met.
 
-        What comes back to the quota until then needs not be left now. Bookings are in
-        the order of their times, and less is promised between two of them than comes
-        back: once that is as much as the largest in advance, later ones need nothing.
+        What the quota regains until a reservation is due need not remain now.
+        Reservations are in order of due time, and less is reserved between two of them
+        than the quota regains: once it has regained the largest request in advance,
+        later reservations need nothing now.
         """
         self._drop_expired(now)
         reserved_now = amount = 0.0
--- a/bitterntiller/components/dispatch/speed.py
+++ b/bitterntiller/components/dispatch/speed.py
@@ -1,4 +1,4 @@
-"""Learned speed of an upstream: prefill and decode, by kind of work."""
+"""Learned speed of an upstream: prefill by kind of work, decoding by concurrency."""
 
 import math
 from typing import NamedTuple, Protocol
@@ -27,7 +27,7 @@
 
 
 class Estimate(NamedTuple):
-    """Expected seconds to the first token and to the end.
+    """Expected seconds until the first token and until the end.
 
     deviation is the mean absolute error of the logarithm of the total.
     """
@@ -38,40 +38,40 @@
 
 
 class Speed(Protocol):
-    """Estimates and learns how long an upstream needs."""
+    """Estimates the service times of an upstream, and learns from measurements."""
 
     deviation: float
 
     def prefill_seconds(self, tokens: int, kind: int) -> float:
-        """Return the seconds of prefill for so many tokens not in the cache."""
+        """Return the seconds to prefill tokens that are not in the cache."""
         ...
 
     def decode_seconds(self, tokens: float, in_flight: int) -> float:
-        """Return the seconds of decoding beside so many requests in flight."""
+        """Return the seconds to decode tokens with in_flight requests."""
         ...
 
     def seconds_per_token(self, in_flight: int) -> float:
-        """Return the seconds between tokens beside so many in flight."""
+        """Return the seconds per token with in_flight requests."""
         ...
 
     def best_seconds_per_token(self) -> float:
-        """Return the seconds between tokens when nothing is in the way."""
+        """Return the seconds per token of an otherwise idle upstream."""
         ...
 
     def best_decode_seconds(self, tokens: float) -> float:
-        """Return the seconds of decoding when nothing is in the way."""
+        """Return the seconds to decode tokens on an otherwise idle upstream."""
         ...
 
     def learn_prefill(self, kind: int, expected: float, measured: float) -> None:
-        """Learn from the seconds to the first token."""
+        """Learn from the expected and measured seconds until the first token."""
         ...
 
     def learn_decode(self, tokens: float, seconds: float, in_flight: int) -> None:
-        """Learn from the seconds that so many tokens took."""
+        """Learn from the seconds in which tokens were decoded."""
         ...
 
     def learn_total(self, expected: float, measured: float) -> None:
-        """Learn how far the estimates of the total are off."""
+        """Learn the error of the estimated total seconds."""
         ...
 
 
@@ -88,7 +88,7 @@
         self.deviation = 0.3
 
     def learn_total(self, expected: float, measured: float) -> None:
-        """Learn how far the estimates of the total are off."""
+        """Learn the error of the estimated total seconds."""
         if expected <= 0 or measured <= 0:
             return
         error = abs(math.log(_clip_ratio(measured / expected)))
@@ -97,11 +97,11 @@
 
 
 class PoolSpeed:
-    """The mean speed of a pool: the first guess for an upstream not yet known.
+    """Mean speed of a pool, the initial estimate for an unmeasured upstream.
 
-    It is also the measure of work, so it must move slowly: if it followed a
-    burst, work that came before and work that came in the burst would not
-    compare, and the wait of the latter would be overrated.
+    It also defines the unit of work, so it changes slowly: if it followed a burst, work
+    from before and from within the burst would not be comparable, and the wait of the
+    latter would be overestimated.
     """
 
     def __init__(self) -> None:
@@ -111,13 +111,13 @@
         self._decode_samples = 0
 
     def record_prefill_rate(self, rate: float) -> None:
-        """Note the prefill rate of one upstream, in tokens a second."""
+        """Record the prefill rate of one upstream, in tokens per second."""
         self._prefill_samples += 1
         gain = max(1 / self._prefill_samples, POOL_PREFILL_GAIN)
         self.prefill_rate += gain * (rate - self.prefill_rate)
 
     def record_decode_time(self, seconds: float) -> None:
-        """Note the seconds per token."""
+        """Record the seconds per token of one upstream."""
         self._decode_samples += 1
         gain = max(1 / self._decode_samples, POOL_DECODE_GAIN)
         self.seconds_per_token += gain * (seconds - self.seconds_per_token)
@@ -129,12 +129,12 @@
 
 
 class EngineSpeed(_DeviationTracker):
-    """Prefill rate by kind of work, decode time by requests in flight.
+    """Prefill rate by kind of work, and decode time by requests in flight.
 
-    scale follows a change of the whole engine's speed within a few samples,
-    the buckets follow slowly; so a slowed engine is known for all buckets as
-    soon as one of them has shown it. All requests of a batch tell of the same
-    steps, so each sample weighs by its span of time, shared by the batch.
+    scale follows a change of the whole engine's speed within a few samples, while the
+    buckets change slowly. One bucket's samples thus suffice to detect a slower engine
+    for all buckets. All requests of a batch measure the same steps, so the weight of a
+    sample is its time span divided by the size of the batch.
     """
 
     def __init__(self, pool: PoolSpeed) -> None:
@@ -147,38 +147,38 @@
         self.scale = 1.0
 
     def prefill_rate(self, kind: int) -> float:
-        """Return the prefill rate in tokens a second."""
+        """Return the prefill rate in tokens per second."""
         rate = self._prefill_rate_by_kind[kind]
         if rate is None:
             rate = self._prefill_rate_by_kind[1 - kind]
         return self._pool.prefill_rate if rate is None else rate
 
     def prefill_seconds(self, tokens: int, kind: int) -> float:
-        """Return the seconds of prefill for so many tokens not in the cache."""
+        """Return the seconds to prefill tokens that are not in the cache."""
         return OVERHEAD_SECONDS + tokens / self.prefill_rate(kind)
 
     def seconds_per_token(self, in_flight: int) -> float:
-        """Return the seconds between tokens beside so many in flight."""
+        """Return the seconds per token with in_flight requests."""
         return self._nearest_bucket_seconds(_concurrency_bucket(in_flight)) * self.scale
 
     def best_seconds_per_token(self) -> float:
-        """Return the seconds between tokens when nothing is in the way."""
+        """Return the seconds per token of an otherwise idle upstream."""
         return self._pool.seconds_per_token if self._best is None else self._best
 
     def decode_seconds(self, tokens: float, in_flight: int) -> float:
-        """Return the seconds of decoding beside so many requests in flight."""
+        """Return the seconds to decode tokens with in_flight requests."""
         return tokens * self.seconds_per_token(in_flight)
 
     def best_decode_seconds(self, tokens: float) -> float:
-        """Return the seconds of decoding when nothing is in the way."""
+        """Return the seconds to decode tokens on an otherwise idle upstream."""
         return tokens * self.best_seconds_per_token()
 
     def learn_prefill(self, kind: int, expected: float, measured: float) -> None:
-        """Learn from the seconds to the first token.
+        """Learn from the seconds until the first token.
 
-        The rate moves by the ratio of the seen and the expected time, so that
-        the time spent behind other prefills calibrates it as well. Times near
-        the overhead say nothing of the rate.
+        The rate is corrected by the ratio of measured and expected time, so that time
+        spent behind other prefills calibrates it as well. Times close to the overhead
+        do not measure the rate.
         """
         if max(expected, measured) < 4 * OVERHEAD_SECONDS:
             return
@@ -190,7 +190,7 @@
         self._pool.record_prefill_rate(rate)
 
     def learn_decode(self, tokens: float, seconds: float, in_flight: int) -> None:
-        """Learn from the seconds that so many tokens took."""
+        """Learn from the seconds in which tokens were decoded."""
         if tokens < 1 or seconds <= 0:
             return
         measured = seconds / tokens
@@ -210,11 +210,11 @@
         self.scale = min(max(scale, MIN_SCALE), MAX_SCALE)
 
     def _learn_best(self, measured: float, span: float) -> None:
-        """Follow the low end of the samples: quickly down, slowly up."""
+        """Track the lower bound of the samples: decrease quickly, increase slowly."""
         if self._best is None:
-            # The first samples may come from the midst of a burst. Too high a
-            # guess would refuse requests as late that an idle upstream serves
-            # well, so it begins low and is corrected within seconds.
+            # The first samples may be from a burst. If the initial value were too
+            # high, requests that an idle upstream serves in time would be refused as
+            # too late. A low value is corrected within seconds.
             self._best = min(measured, self._pool.seconds_per_token)
             return
         tau = (
@@ -239,10 +239,10 @@
 
 
 class PlainSpeed(_DeviationTracker):
-    """Seconds at one plain service for each expected second of a call.
+    """Seconds per expected second of a call at one plain service.
 
-    What Speed calls tokens are seconds here: the mean time of calls of that
-    size over all services of the pool.
+    The tokens of Speed are seconds here: the mean duration of calls of that size over
+    all services of the pool.
     """
 
     def __init__(self) -> None:
@@ -251,15 +251,15 @@
         self.scale = 1.0
 
     def prefill_seconds(self, tokens: int, kind: int) -> float:
-        """Return 0: a plain service has no prefill."""
+        """Return 0, since a plain service has no prefill."""
         return 0.0
 
     def seconds_per_token(self, in_flight: int) -> float:
-        """Return the seconds for each expected second."""
+        """Return the seconds per expected second."""
         return self.scale
 
     def best_seconds_per_token(self) -> float:
-        """Return the seconds for each expected second."""
+        """Return the seconds per expected second."""
         return self.seconds_per_token(1)
 
     def decode_seconds(self, tokens: float, in_flight: int) -> float:
@@ -271,7 +271,7 @@
         return self.decode_seconds(tokens, 1)
 
     def learn_prefill(self, kind: int, expected: float, measured: float) -> None:
-        """Learn nothing: a plain service has no prefill."""
+        """Ignore the sample, since a plain service has no prefill."""
 
     def learn_decode(self, tokens: float, seconds: float, in_flight: int) -> None:
         """Learn from the seconds of one call."""
@@ -284,5 +284,5 @@
 
 
 def new_speed(kind: str, pool: PoolSpeed) -> EngineSpeed | PlainSpeed:
-    """Return the model of speed for a kind of pool."""
+    """Return the speed model for a kind of pool."""
     return PlainSpeed() if kind == KIND_PLAIN else EngineSpeed(pool)
--- a/bitterntiller/components/dispatch/typical_prefill.py
+++ b/bitterntiller/components/dispatch/typical_prefill.py
@@ -1,14 +1,14 @@
-"""The typical prefill of the requests of each tier."""
+"""Typical prefill time of the requests of each tier."""
 
 MEAN_GAIN = 0.02
-"""Weight of one request in the running means."""
+"""Weight of one request in the moving averages."""
 
 
 class TypicalPrefill:
-    """Learns the mean prefill of each tier, in seconds, weighed by the prefill itself.
+    """Learns the mean prefill seconds of each tier, weighted by the prefill itself.
 
-    Few requests have long prompts, yet they make up most of the prefill time; a plain
-    mean would be that of the many short ones.
+    Few requests have long prompts, but they make up most of the prefill time. An
+    unweighted mean would be that of the many short prompts.
     """
 
     def __init__(self) -> None:
@@ -23,6 +23,6 @@
         self._moments_by_rank[rank] = (mean, mean_square)
 
     def seconds(self, rank: int) -> float:
-        """Return the typical prefill of a tier, 0 before any request."""
+        """Return the typical prefill seconds of a tier, 0 before its first request."""
         mean, mean_square = self._moments_by_rank.get(rank, (0.0, 0.0))
         return mean_square / mean if mean else 0.0
--- a/bitterntiller/components/dispatch/upstream_events.py
+++ b/bitterntiller/components/dispatch/upstream_events.py
@@ -1,19 +1,20 @@
-"""Changes in an owner's view of its upstreams, kept until they are logged."""
+"""State changes of an owner's upstreams, kept until they are logged."""
 
 from collections import deque
 from enum import StrEnum
 from typing import NamedTuple
 
 MAX_EVENTS = 256
-"""Changes that are kept; the oldest goes first if nobody takes them."""
+"""Maximum number of kept changes; the oldest are dropped first."""
 
 
 class UpstreamChange(StrEnum):
-    """What changed: whether an upstream is given work, and why not.
+    """How an upstream changed: whether it gets requests, and if not, why.
 
-    A sick one failed several times in a row and is only probed. A forgotten one is
-    unknown until it is announced again. A limited one names in its answers how many
-    requests a second it takes. A withheld one has a version that gets no requests.
+    An unhealthy upstream failed several times in a row and only gets probes. A
+    forgotten one is unknown until it is announced again. A limited one states in its
+    responses how many requests per second it accepts. A withheld one has a version that
+    gets no requests.
     """
 
     RESTARTED = "restarted"
@@ -29,11 +30,12 @@
 
 
 class UpstreamEvent(NamedTuple):
-    """One change, and what it rests on; times in seconds.
+    """A change and the state that it was based on; times in seconds.
 
-    heard is how old the newest announcement is, worked how long ago the upstream last
-    showed that it works, and probe_in when a sick one is tried again. limit is what its
-    answers name, in requests a second.
+    announcement_age is the age of the newest announcement, activity_age the time since
+    the upstream's last output or successful response, and probe_in the time until an
+    unhealthy upstream is probed. limit is the rate limit that its responses state, in
+    requests per second.
     """
 
     upstream: str
@@ -46,17 +48,17 @@
 
 
 class UpstreamEvents:
-    """Collects changes in their order."""
+    """Collects changes in order."""
 
     def __init__(self) -> None:
         self._events: deque[UpstreamEvent] = deque(maxlen=MAX_EVENTS)
 
     def record(self, event: UpstreamEvent) -> None:
-        """Note a change."""
+        """Record a change."""
         self._events.append(event)
 
     def take(self) -> list[UpstreamEvent]:
-        """Return what was noted since the last call."""
+        """Return the changes recorded since the last call."""
         taken = list(self._events)
         self._events.clear()
         return taken
--- a/bitterntiller/components/dispatch/upstream_rate_limiter.py
+++ b/bitterntiller/components/dispatch/upstream_rate_limiter.py
@@ -1,18 +1,18 @@
-"""Paces what is sent to an upstream by the limit that its answers name; pure."""
+"""Limits requests to an upstream to the rate that its responses state; no I/O."""
 
 BURST_SECONDS = 1.0
-"""For how long an unused limit can be saved up."""
+"""Seconds of unused limit that the bucket can accumulate."""
 
 MIN_RATE = 0.1
-"""Requests a second that are sent all the same: without any answer nothing would tell
-that the limit has ended."""
+"""Minimum requests per second that are sent at any limit. Without any response the
+owner would not detect the end of the limit."""
 
 
 class UpstreamRateLimiter:
-    """A token bucket over all entry hosts, without bound until a limit is named.
+    """A token bucket over all entry hosts, unlimited until a limit is reported.
 
-    limit is in requests a second. The bucket begins empty: what was granted before the
-    limit was heard of is on its way.
+    limit is in requests per second. The bucket starts empty, since requests granted
+    before the limit was reported are on their way.
     """
 
     __slots__ = ("_filled_at", "_updated_at", "_tokens", "limit")
@@ -24,10 +24,10 @@
         self._filled_at = 0.0
 
     def update(self, limit: float | None, at: float, now: float) -> bool:
-        """Take what an answer of the time at named, None for no limit.
+        """Apply the limit of a response that was given at a time, None for no limit.
 
-        Tell whether it is a change. An answer that is older than the last one heard
-        changes nothing: answers of several hosts arrive in any order.
+        Return whether the limit changed. A response older than the newest known one is
+        ignored, since responses reported by several hosts arrive in any order.
         """
         if at <= self._updated_at:
             return False
@@ -42,7 +42,7 @@
         return True
 
     def age(self, now: float) -> float:
-        """Return how long ago the newest answer was given that was heard of."""
+        """Return the age of the newest known response, in seconds."""
         return now - self._updated_at
 
     def wait_seconds(self, now: float) -> float:
@@ -54,14 +54,14 @@
         return 0.0 if missing <= _ROUNDING_ERROR else missing / self._rate()
 
     def acquire(self, now: float) -> None:
-        """Count a request that is granted."""
+        """Take the token of a granted request."""
         if self.limit is None:
             return
         self._refill(now)
         self._tokens -= 1.0
 
     def sustained_concurrency(self, seconds: float) -> float:
-        """Return how many requests of so many seconds each run at once at most."""
+        """Return the maximum concurrency of requests that take so many seconds each."""
         return float("inf") if self.limit is None else self._rate() * seconds
 
     def _rate(self) -> float:
@@ -78,4 +78,4 @@
 
 
 _ROUNDING_ERROR = 1e-9
-"""By how much a sum of parts may differ from the whole."""
+"""Tolerance for floating-point errors of the accumulated tokens."""
--- a/bitterntiller/components/dispatch/upstreams.py
+++ b/bitterntiller/components/dispatch/upstreams.py
@@ -1,4 +1,4 @@
-"""The upstreams of a pool, and which of them can take one more request."""
+"""The upstreams of a pool, and which of them can accept another request."""
 
 import random
 from collections.abc import Iterator
@@ -21,14 +21,14 @@
 from bitterntiller.components.rollouts.const import LABEL_VERSION
 
 ACTIVITY_SECONDS = 2.0
-"""How long an answer proves that an upstream is there which control does not hear."""
+"""How long an upstream that is silent towards control is used after its last output."""
 
 AllowedNames = frozenset[str] | None
-"""The names that requests are restricted to; None is all upstreams."""
+"""Names of the upstreams that a request may use; None means all upstreams."""
 
 
 class Upstream:
-    """One upstream: what it announced and what the owner has learned of it."""
+    """An upstream, with its announced state and what the owner has measured."""
 
     def __init__(
         self,
@@ -60,10 +60,10 @@
         self._prefill_window = parameters.prefill_window
 
     def restart(self) -> None:
-        """Forget what its former incarnation ran, held, failed at and how fast it was.
+        """Reset everything measured of the previous incarnation.
 
-        One that was slow at its end would be given little work for long after its
-        new start, and one that held a prefix would be sent work for what it lost.
+        Otherwise an upstream that was slow before its restart would get few requests
+        for a long time, and it would get requests for prefixes that it lost.
         """
         self.speed = new_speed(self._kind, self._pool_speed)
         self.ledger.clear()
@@ -74,7 +74,7 @@
         self.reserved_for = None
 
     def event(self, change: UpstreamChange, now: float) -> UpstreamEvent:
-        """Return a change of what is believed here, with what it rests on."""
+        """Return the event of a change, with the state that it was based on."""
         unhealthy = change is UpstreamChange.UNHEALTHY
         return UpstreamEvent(
             self.name,
@@ -88,14 +88,14 @@
 
     @property
     def version(self) -> str:
-        """Return the version of its software, empty when it told none."""
+        """Return the version of its software, empty if not announced."""
         return self.state.labels.get(LABEL_VERSION, "")
 
     def usable(self, now: float) -> bool:
-        """Tell whether the upstream is there: heard of and not leaving.
+        """Return whether the upstream can be used: announced recently and not leaving.
 
-        One that control does not hear may be cut off from control only: it is used
-        on as long as its answers come.
+        An upstream that is silent towards control may only be cut off from control, so
+        it is used as long as its output arrives.
         """
         if self.state.silent and now - self.last_active_at > ACTIVITY_SECONDS:
             return False
@@ -105,11 +105,11 @@
         )
 
     def can_be_forgotten(self, now: float) -> bool:
-        """Tell whether the upstream may be forgotten: it is not there, for long.
+        """Return whether the upstream has been unusable for long enough to forget it.
 
-        The age of its announcement alone would not do. Where owners are told of
-        changes only, an upstream that is there may have nothing to tell for days, and
-        requests would be refused beside idle upstreams.
+        The age of its announcement alone is not sufficient: where owners receive only
+        changes, a usable upstream may not be announced for days, and requests would be
+        refused beside idle upstreams.
         """
         if self.usable(now) or self.ledger.in_flight:
             return False
@@ -126,7 +126,7 @@
         )
 
     def prefill_wait(self, now: float) -> float:
-        """Return the seconds until the prefill here is near enough to its end."""
+        """Return the seconds until outstanding prefill fits the prefill window."""
         if not self.ledger.prefilling_by_id:
             return 0.0
         return max(
@@ -134,7 +134,7 @@
         )
 
     def can_take(self, now: float) -> bool:
-        """Tell whether one more request may be sent now."""
+        """Return whether another request may be sent now."""
         return (
             self.usable(now)
             and self.free_slots(now) >= 1
@@ -144,29 +144,29 @@
         )
 
     def usable_slots(self, seconds: float) -> int:
-        """Return how many requests of so many seconds each it can have at once."""
+        """Return the maximum concurrency of requests that take so many seconds each."""
         slots = self.limit.limit(self.state.slots)
         return max(1, int(min(slots, self.rate_limiter.sustained_concurrency(seconds))))
 
     def needs_speed_probe(self, now: float) -> bool:
-        """Tell whether what is known of its speed is nothing, or old.
+        """Return whether the measured speed is missing or outdated.
 
-        An upstream that was slow for a while would otherwise get no work, since
-        all would end too late, and so could never show that it is fast again.
-        It would show as a service that refuses everything beside idle upstreams.
-        One request at a time, every few seconds, is risked to find out.
+        An upstream that was slow for a while would otherwise get no requests, since all
+        would be expected to end too late, and its recovery would never be measured: the
+        service would refuse everything beside idle upstreams. One request every few
+        seconds is therefore sent as a probe.
         """
         return not self.ledger.in_flight and now - self.last_granted_at >= PROBE_SECONDS
 
     def has_free_slots(self, fraction: float) -> bool:
-        """Tell whether one more request keeps within a part of the slots."""
+        """Return whether another request fits into a fraction of the slots."""
         if fraction >= 1.0:
             return True
         slots = self.limit.limit(self.state.slots)
         return self.ledger.in_flight < max(1.0, fraction * slots)
 
     def has_memory_for(self, kv_tokens: int, fraction: float = 1.0) -> bool:
-        """Tell whether a part of the memory holds so many tokens more."""
+        """Return whether another request's tokens fit into a fraction of the memory."""
         limit = self.state.kv_tokens * fraction
         if limit <= 0 or not self.ledger.jobs_by_id:
             return True
@@ -174,7 +174,7 @@
 
 
 class NameSet:
-    """A set of names that can be sampled in constant time."""
+    """A set of names that supports sampling in constant time."""
 
     def __init__(self) -> None:
         self._names: list[str] = []
@@ -197,7 +197,7 @@
         self._names.append(name)
 
     def discard(self, name: str) -> None:
-        """Remove a name by putting the last one in its place."""
+        """Remove a name by moving the last one to its position."""
         place = self._place_by_name.pop(name, None)
         if place is None:
             return
@@ -207,17 +207,17 @@
             self._place_by_name[last] = place
 
     def sample(self, count: int, rng: random.Random) -> list[str]:
-        """Return some names, perhaps one of them twice."""
+        """Return a random sample of names, drawn with replacement."""
         names = self._names
         size = len(names)
         return [names[int(rng.random() * size)] for _ in range(count)]
 
 
 class UpstreamView:
-    """The upstreams that one set of names allows, and the free ones of them.
+    """The upstreams that one set of names allows, and those of them that are free.
 
-    best_prefill and best_decode are the least expected seconds of a thousand
-    tokens on any of them, as found at best_at.
+    best_prefill and best_decode are the minimum expected seconds per thousand tokens
+    over these upstreams, as of best_updated_at.
     """
 
     def __init__(self, names: AllowedNames) -> None:
@@ -229,12 +229,12 @@
         self.best_decode = 0.0
 
     def allows(self, name: str) -> bool:
-        """Tell whether an upstream belongs here."""
+        """Return whether an upstream belongs to this view."""
         return self.names is None or name in self.names
 
 
 class UpstreamViews:
-    """One view for each set of names that requests are restricted to."""
+    """One view for each set of names that requests may use."""
 
     MAX_VIEWS = 256
 
@@ -247,11 +247,11 @@
     def get(
         self, names: AllowedNames, upstreams_by_name: dict[str, Upstream]
     ) -> UpstreamView:
-        """Return the view of a set of names, made when it is first asked for."""
+        """Return the view of a set of names, creating it on first use."""
         view = self._views_by_names.get(names)
         if view is None:
-            # Selectors that operators change leave views behind; they are made
-            # anew on demand, so all may be dropped when there are too many.
+            # Changes of selectors leave unused views behind. Views are created on
+            # demand, so all are dropped when there are too many.
             if len(self._views_by_names) >= self.MAX_VIEWS:
                 self._views_by_names = {None: self.unrestricted}
             view = self._views_by_names[names] = UpstreamView(names)
@@ -262,7 +262,7 @@
         return view
 
     def update(self, upstream: Upstream, member: bool) -> None:
-        """Bring all views up to date with one upstream."""
+        """Update all views after a change of one upstream."""
         for view in self._views_by_names.values():
             if not view.allows(upstream.name):
                 continue
--- a/bitterntiller/components/dispatch/wire.py
+++ b/bitterntiller/components/dispatch/wire.py
@@ -1,4 +1,4 @@
-"""From the messages of entry hosts to the scheduler's models, and back."""
+"""Conversion between messages of entry hosts and the scheduler's models."""
 
 from bitterntiller.components.dispatch.models import (
     CacheChange,
@@ -22,7 +22,7 @@
     upstream_names: frozenset[str] | None,
     now: float,
 ) -> WaitingRequest:
-    """Return a registration in the owner's own time."""
+    """Convert a registration to the owner's clock."""
     return WaitingRequest(
         request_id=message.request_id,
         workspace=message.workspace,
@@ -49,7 +49,7 @@
 
 
 def upstream_state(message: messages.Announce, now: float) -> UpstreamState:
-    """Return an announcement in the owner's own time."""
+    """Convert an announcement to the owner's clock."""
     return UpstreamState(
         name=message.name,
         address=message.address,
@@ -80,7 +80,7 @@
 
 
 def rate_limit_update(message: messages.UpstreamLimit, now: float) -> RateLimitUpdate:
-    """Return what an answer named, in the owner's own time."""
+    """Convert a reported rate limit to the owner's clock."""
     return RateLimitUpdate(
         upstream=message.upstream,
         incarnation=message.incarnation,
@@ -90,7 +90,7 @@
 
 
 def completion(message: messages.Finished, now: float) -> Completion:
-    """Return the end of a request; -1 in a message stands for not known."""
+    """Convert the end of a request; -1 in the message means unknown."""
     first = message.first_token_ms
     cached = message.cached_tokens
     return Completion(
--- a/bitterntiller/components/dispatch/workspace_limiter.py
+++ b/bitterntiller/components/dispatch/workspace_limiter.py
@@ -1,4 +1,4 @@
-"""Limits of workspaces, counted by the owner over all entry hosts."""
+"""Concurrency and rate limits of workspaces, enforced by the owner of a pool."""
 
 from bitterntiller.components.dispatch.models import WorkspaceLimits
 
@@ -16,26 +16,26 @@
 
 
 class WorkspaceLimiter:
-    """Counts what each workspace has in flight and how fast it asks."""
+    """Tracks the requests in flight and the request rate of each workspace."""
 
     def __init__(self) -> None:
         self._limits_by_workspace: dict[str, WorkspaceLimits] = {}
         self._usage_by_workspace: dict[str, _Usage] = {}
 
     def set_limits(self, limits_by_workspace: dict[str, WorkspaceLimits]) -> None:
-        """Put new limits in force; what is in flight stays counted."""
+        """Apply new limits; requests in flight stay counted."""
         self._limits_by_workspace = dict(limits_by_workspace)
 
     def share(self, workspace: str) -> float:
-        """Return the weight of a workspace in its tier."""
+        """Return the fair-share weight of a workspace in its tier."""
         return max(self._limits_by_workspace.get(workspace, NO_LIMITS).share, 0.001)
 
     def concurrency(self, workspace: str) -> int | None:
-        """Return how many requests of a workspace may be in flight."""
+        """Return the concurrency limit of a workspace, None without one."""
         return self._limits_by_workspace.get(workspace, NO_LIMITS).concurrency
 
     def at_concurrency_limit(self, workspace: str) -> bool:
-        """Tell whether a workspace has all in flight that it may."""
+        """Return whether a workspace has reached its concurrency limit."""
         limit = self.concurrency(workspace)
         if limit is None:
             return False
@@ -43,9 +43,9 @@
         return usage is not None and usage.in_flight >= limit
 
     def acquire_rate(self, workspace: str, now: float) -> float:
-        """Take one request from the rate; return the seconds to wait, 0 if taken.
+        """Take one request from the token bucket; return seconds to wait, 0 if taken.
 
-        The bucket holds one second's worth, and at least one request.
+        The bucket holds the requests of one second, and at least one request.
         """
         rate = self._limits_by_workspace.get(workspace, NO_LIMITS).rate
         if rate is None:
@@ -61,36 +61,36 @@
         return (1.0 - usage.tokens) / max(rate, 0.001)
 
     def start_request(self, workspace: str, now: float) -> None:
-        """Count a request in flight."""
+        """Count a request as in flight."""
         self._usage_of(workspace, now).in_flight += 1
 
     def finish_request(self, workspace: str) -> None:
-        """Count one request in flight less."""
+        """Count a request as no longer in flight."""
         usage = self._usage_by_workspace[workspace]
         usage.in_flight -= 1
         self._drop_if_idle(workspace, usage)
 
     def add_waiting(self, workspace: str, count: int, now: float) -> None:
-        """Count requests that wait."""
+        """Change the number of waiting requests by count."""
         usage = self._usage_of(workspace, now)
         usage.waiting += count
         self._drop_if_idle(workspace, usage)
 
     def waiting(self, workspace: str) -> int:
-        """Return how many requests of a workspace wait."""
+        """Return the number of waiting requests of a workspace."""
         usage = self._usage_by_workspace.get(workspace)
         return 0 if usage is None else usage.waiting
 
     def in_flight(self, workspace: str) -> int:
-        """Return how many requests of a workspace are in flight."""
+        """Return the number of requests of a workspace in flight."""
         usage = self._usage_by_workspace.get(workspace)
         return 0 if usage is None else usage.in_flight
 
     def _drop_if_idle(self, workspace: str, usage: _Usage) -> None:
-        """Drop the count of an idle workspace, so that the mapping stays small.
+        """Drop the counts of an idle workspace, which bounds the size of the mapping.
 
-        The fill of a bucket must be kept, or a workspace could refill it by
-        pausing for a moment.
+        The token bucket of a rate limit is kept; otherwise a workspace could refill it
+        by pausing for a moment.
         """
         limits = self._limits_by_workspace.get(workspace, NO_LIMITS)
         if not usage.in_flight and not usage.waiting and limits.rate is None:
--- a/tests/components/dispatch/messages_builders.py
+++ b/tests/components/dispatch/messages_builders.py
@@ -1,4 +1,4 @@
-"""Builders of the messages that an owner hears, and of its configuration."""
+"""Builders for the messages that an owner receives, and for its configuration."""
 
 from typing import Any
 
@@ -30,7 +30,7 @@
 
 
 def register(request_id: str, host: str = "bole-1", **changes: Any) -> Any:
-    """Return the registration of a small request with 30 seconds."""
+    """Return the registration of a small request with a deadline in 30 seconds."""
     fields = {
         "request_id": request_id,
         "pool": POOL,
@@ -48,7 +48,7 @@
 
 
 def running(request_id: str, upstream: str, host: str = "bole-1") -> Any:
-    """Return a request that runs under an earlier owner's grant."""
+    """Return a request that runs under a grant of an earlier owner."""
     item = register(request_id, host)
     return messages.RunningItem(request=item, upstream=upstream, output_tokens=5)
 
--- a/tests/components/dispatch/test_call_durations.py
+++ b/tests/components/dispatch/test_call_durations.py
@@ -1,4 +1,4 @@
-"""Calls of plain services: how long they take, and which are late by it."""
+"""Tests of the estimated duration of calls to plain services."""
 
 import pytest
 
@@ -15,18 +15,18 @@
 
 
 def end_call(scheduler: PoolScheduler, name: str, seconds: float, now: float) -> None:
-    """Tell of the end of a call of a plain service."""
+    """Report the end of a call of a plain service."""
     done = completion(name, first_token=seconds, total=seconds, output_tokens=0)
     scheduler.finished(done, now)
 
 
 @pytest.mark.parametrize("adopted_tokens", [30, 5000])
 def test_adopted_long_calls_do_not_make_short_ones_late(adopted_tokens: int):
-    """After a change of owners a map service refuses all tiles for a minute.
+    """After a change of owner a map service refused all tiles for a minute.
 
-    Exports of 10 s run at the change, and the new owner hears of them first. It
-    takes their time for the mean of a call; tiles have 4 s, so each is refused
-    as late, none runs, and nothing shows that tiles are short.
+    Exports of 10 s ran at the change, and their ends were the first that the new owner
+    received. It took their duration for the mean of all calls. Tiles have 4 s, so each
+    was refused as too late, and no tile ran that could correct the mean.
     """
     scheduler = PoolScheduler(PolicyParameters(kind="plain"))
     scheduler.announce(upstream(kv_tokens=0), NOW)
@@ -43,7 +43,7 @@
     assert [type(found) for found in decisions] == [Granted] * 3
 
 
-def test_calls_are_late_by_measured_ones_of_their_size_only():
+def test_calls_are_too_late_only_by_measured_calls_of_their_size():
     scheduler = PoolScheduler(PolicyParameters(kind="plain"))
     scheduler.announce(upstream(kv_tokens=0), NOW)
     scheduler.register(request("slow", prompt_tokens=40, output_tokens=1), NOW)
--- a/tests/components/dispatch/test_coordinator.py
+++ b/tests/components/dispatch/test_coordinator.py
@@ -18,7 +18,7 @@
 
 
 def granted_after(step: Step) -> list[str]:
-    """Run a coordinator while a step goes on; return the ids it granted."""
+    """Run a coordinator during a step; return the ids of granted requests."""
     runtime = FakeRuntime()
     directory = FakeDirectory()
 
@@ -38,12 +38,12 @@
     return isinstance(message, messages.Grant)
 
 
-def test_dead_entry_host_holds_up_no_other_hosts_grants():
-    """All requests of a pool wait a second whenever one entry host is dead.
+def test_dead_entry_host_does_not_delay_grants_of_other_hosts():
+    """All requests of a pool waited a second whenever an entry host was dead.
 
-    A host loses its power while its requests wait. The owner grants one of them
-    and dials the host until the connection times out; the grants of all other
-    hosts stand behind that one.
+    A host lost its power while its requests waited. The owner granted one of them and
+    tried to connect to the host until the timeout; the grants of all other hosts were
+    sent after that one.
     """
 
     async def async_step(owner: Any, runtime: FakeRuntime, _: Any) -> None:
@@ -55,11 +55,11 @@
     assert granted_after(async_step) == ["r2"]
 
 
-def test_registration_before_the_owner_knows_that_it_owns():
-    """Requests wait two seconds more than needed after each change of owner.
+def test_registration_that_arrives_before_the_ownership():
+    """Requests waited two seconds longer than necessary after each change of owner.
 
-    The entry host hears of the new owner first and registers at once. The owner
-    hears of it at its next heartbeat, and has dropped the registration.
+    The entry host received the new owner first and registered at once. The owner, which
+    received its ownership with its next heartbeat, had dropped the registration.
     """
 
     async def async_step(owner: Any, _: Any, directory: FakeDirectory) -> None:
@@ -71,19 +71,19 @@
     assert granted_after(async_step) == ["r1"]
 
 
-def test_running_work_told_before_the_owner_knows_its_epoch():
-    """A new owner loads an engine twice for as long as the old work runs.
+def test_running_requests_reported_before_the_new_epoch():
+    """A new owner loaded an engine twice for as long as earlier requests ran.
 
-    Entry hosts tell of running work when they hear of the new owner, which may
-    be before the owner does. Told once, it would never be counted.
+    Entry hosts report running requests once, when they receive the new owner. This may
+    be before the owner receives its epoch, and the requests were never counted.
     """
 
     async def async_step(owner: Any, _: Any, directory: FakeDirectory) -> None:
         item = build.running("r0", "e1")
-        told = messages.Reregister(
+        message = messages.Reregister(
             pool=build.POOL, epoch=2, entry_host="bole-1", waiting=[], running=[item]
         )
-        await owner.async_on_reregister("bole-1", told)
+        await owner.async_on_reregister("bole-1", message)
         directory.epoch = 2
         await owner.async_on_announce("e", build.announce("e1", 1))
         await curio.sleep(0.2)
@@ -93,10 +93,10 @@
 
 
 def test_slot_of_a_dead_entry_process_is_granted_at_once():
-    """A request waits a second for a slot that is free already.
+    """A request waited a second for a slot that was free already.
 
-    The entry process that held the slot has died and come back. The owner frees
-    the slot and grants it to the next request, but does not send that grant.
+    The entry process that used the slot had died and restarted. The owner freed the
+    slot and granted it to the next request, but did not send that grant.
     """
 
     async def async_step(owner: Any, runtime: FakeRuntime, directory: Any) -> None:
@@ -110,10 +110,10 @@
 
 
 def test_owner_without_a_lease_grants_nothing():
-    """Two owners load the same engine after one of them was cut off for a while.
+    """Two owners loaded the same engine after one of them was partitioned for a while.
 
-    The one that was cut off has lost its lease, and the pool has another owner;
-    it must not act on what still reaches it.
+    The partitioned owner has lost its lease, and the pool has another owner. It must
+    not act on messages that still reach it.
     """
 
     async def async_step(owner: Any, _: Any, __: Any) -> None:
@@ -124,12 +124,12 @@
     assert granted_after(async_step) == []
 
 
-def test_host_that_turns_back_leaves_no_ended_requests_behind():
-    """Requests wait four seconds beside idle upstreams after a cut of a second.
+def test_host_that_returns_to_an_owner_leaves_no_ended_requests():
+    """Requests waited four seconds beside idle upstreams after a partition of a second.
 
-    An entry host passes an owner over for a moment and tells the ends of its requests
-    to another one. It turns back before the first owner has forgotten it, and all that
-    ran at the beginning of the cut still fills the slots in that owner's book.
+    An entry host used another owner for a moment and reported the ends of its requests
+    there. It returned before the first owner had dropped it, and all requests that ran
+    at the start of the partition still occupied slots at that owner.
     """
 
     async def async_step(owner: Any, runtime: FakeRuntime, _: Any) -> None:
@@ -138,14 +138,14 @@
             await owner.async_on_register("bole-1", build.register(name))
         await owner.async_on_register("yeka-1", build.register("other", "yeka-1"))
         await curio.sleep(0.05)
-        told = messages.Reregister(
+        message = messages.Reregister(
             pool=build.POOL,
             epoch=0,
             entry_host="bole-1",
             waiting=[build.register("waits")],
             running=[build.running("runs", "e1")],
         )
-        await owner.async_on_reregister("bole-1", told)
+        await owner.async_on_reregister("bole-1", message)
 
     granted = granted_after(async_step)
     assert granted == ["ended", "runs", "other"]
--- a/tests/components/dispatch/test_owned_pool.py
+++ b/tests/components/dispatch/test_owned_pool.py
@@ -1,4 +1,4 @@
-"""Tests of what an owner keeps beside its scheduler."""
+"""Tests of the requests and labels that an owner tracks beside its scheduler."""
 
 from typing import Any
 
@@ -27,12 +27,12 @@
     return view["running"]
 
 
-def test_grant_that_was_lost_is_given_again():
-    """A request waits until its deadline beside an idle upstream.
+def test_lost_grant_is_repeated():
+    """A request waited until its deadline beside an idle upstream.
 
-    The connection breaks with the grant on it. The entry host registers the
-    request anew, and the owner drops the repetition since it tracks the id.
-    The grant lapses, and nothing brings the request back into the queue.
+    The grant was lost with a broken connection. The entry host registered the request
+    again, and the owner ignored this since it tracked the id. The grant expired, and
+    the request was never queued again.
     """
     owned = pool()
     owned.announce(build.announce("e1", 1), T0)
@@ -45,11 +45,11 @@
     assert granted(decisions) == ["r1"]
 
 
-def test_end_that_was_lost_frees_the_slot():
-    """A slot of an engine stays unused until the pool gets another owner.
+def test_slot_of_a_lost_end_is_freed():
+    """A slot of an engine stayed unused until the pool got another owner.
 
-    The message that a request has ended is lost with a broken connection. The
-    entry host tells it only once, so the owner counts the request for ever.
+    The end of a request was lost with a broken connection. The entry host reports it
+    only once, so the owner counted the request for ever.
     """
     owned = pool()
     owned.announce(build.announce("e1", 1), T0)
@@ -62,7 +62,7 @@
     assert set(owned.tracked_by_id) == {"r2"}
 
 
-def test_list_of_one_host_leaves_what_is_new_or_another_hosts():
+def test_live_list_keeps_new_requests_and_those_of_other_hosts():
     owned = pool()
     owned.register(build.register("other", host="yeka-1"), "i2", T0)
     owned.register(build.register("new"), "i1", T0 + 9.0)
@@ -70,12 +70,12 @@
     assert set(owned.tracked_by_id) == {"other", "new"}
 
 
-def test_new_labels_leave_adopted_work_where_it_runs():
-    """An engine gets a second full load after an operator changes a selector.
+def test_changed_selector_keeps_adopted_requests_running():
+    """An engine got a second full load after an operator changed a selector.
 
-    The owner took over running requests. It takes them for waiting ones when
-    the selectors change, withdraws them and queues them again, so that their
-    slots seem free while the work goes on.
+    The owner had taken over running requests. When the selectors changed, it treated
+    them as waiting, cancelled them and queued them again, so that their slots seemed
+    free while the requests ran.
     """
     owned = pool()
     owned.announce(build.announce("e1", 1, zone="bole"), T0)
@@ -87,10 +87,10 @@
 
 
 def test_returned_request_follows_new_selectors():
-    """A request goes to an engine that a changed selector has excluded.
+    """A request was sent to an engine that a changed selector excludes.
 
-    Its first grant was returned unused, and the owner still takes it for a
-    granted one, which selectors do not touch.
+    Its first grant had been returned unused, but the owner still treated the request as
+    granted, and changed selectors do not apply to granted requests.
     """
     owned = pool()
     owned.announce(build.announce("e1", 1, zone="bole"), T0)
@@ -115,12 +115,12 @@
     assert granted(owned.tick(T0 + 1.0)) == ["r1"]
 
 
-def test_waiting_work_is_taken_over_together():
-    """After a change of owner the only slot goes to the lowest tier.
+def test_waiting_requests_are_taken_over_together():
+    """After a change of owner the only slot went to the lowest tier.
 
-    The entry hosts tell a new owner what waits, the bronze request first. Taken
-    one by one it was granted before the owner had heard of the gold one, which
-    then waited behind it, or could be shed while bronze work was not yet known.
+    The entry hosts registered their waiting requests with the new owner, the bronze
+    request first. Queued one by one, it was granted before the gold one was registered,
+    which then waited behind it, or could be shed while bronze requests were unknown.
     """
     owned = pool(settled_at=T0 + 1.0)
     owned.announce(build.announce("e1", 1), T0)
--- a/tests/components/dispatch/test_prefix.py
+++ b/tests/components/dispatch/test_prefix.py
@@ -1,4 +1,4 @@
-"""What is believed of an upstream's prefix cache, under late events and gaps."""
+"""Tests of the tracked prefix cache of an upstream, with late events and gaps."""
 
 from bitterntiller.components.dispatch.models import CacheChange
 from bitterntiller.components.dispatch.prefix import PrefixCache, PrefixIndex
@@ -13,18 +13,18 @@
     return made, index
 
 
-def test_a_dispatched_prompt_is_believed_to_be_held():
+def test_dispatched_prompt_is_expected_in_the_cache():
     made, index = cache()
     assert made.cached_tokens(HASHES, 1000) == 256
     assert made.cached_tokens((11, 99), 1000) == 64
     assert index.longest_match((11, 12, 99)) == (1, {"engine-1": None})
 
 
-def test_a_removal_older_than_the_dispatch_is_passed_over():
-    """The engine dropped a prefix, then computed it anew for our request.
+def test_removal_older_than_the_dispatch_is_ignored():
+    """Requests with a cached prefix were sent to upstreams that had to compute it.
 
-    The event of the removal comes after the dispatch. Believing it would send
-    the next request with the prefix elsewhere, to be computed there again.
+    The engine removed the prefix and computed it again for a dispatched request. The
+    removal event arrives after the dispatch and must not count as a later removal.
     """
     made, _ = cache(now=100.0)
     made.apply_changes([CacheChange(1, False, 13)], 101.0)
@@ -33,7 +33,7 @@
     assert made.cached_tokens(HASHES, 1000) == 128
 
 
-def test_a_gap_halves_what_was_believed_before():
+def test_gap_halves_the_expected_tokens_of_earlier_prefixes():
     made, _ = cache(now=100.0)
     made.apply_changes([CacheChange(1, True, 50)], 105.0)
     made.apply_changes([CacheChange(7, True, 51)], 106.0)
@@ -42,7 +42,7 @@
     assert made.cached_tokens(HASHES, 1000) == 256
 
 
-def test_the_oldest_go_when_the_cache_is_full():
+def test_oldest_prefixes_are_evicted_from_a_full_cache():
     made, index = cache()
     for number in range(1000, 1400):
         made.add((number,), 1000, 101.0)
--- a/tests/components/dispatch/test_takeover.py
+++ b/tests/components/dispatch/test_takeover.py
@@ -1,4 +1,4 @@
-"""What a new owner does with the requests and upstreams that it takes over."""
+"""Tests of the requests and upstreams that a new owner takes over."""
 
 import pytest
 
@@ -10,12 +10,12 @@
 NOW = 1000.0
 
 
-def test_requests_taken_over_together_find_the_slots_that_are_free():
-    """A caller gets 503 beside free upstreams, and is told to come back in 20 s.
+def test_requests_taken_over_together_use_all_free_slots():
+    """A caller got 503 with a Retry-After of 20 s beside free upstreams.
 
-    Its request and another one are registered together with a new owner that has heard
-    of the upstreams, but has not looked at them for the first time: it judged the
-    second by a capacity of one slot.
+    Its request and another one were registered together with a new owner. The upstreams
+    were announced, but the first housekeeping had not run, so the owner assumed a
+    capacity of one slot for the second request.
     """
     scheduler = PoolScheduler()
     scheduler.announce(upstream("engine-1", slots=16), NOW)
@@ -26,8 +26,8 @@
 
 
 @pytest.mark.parametrize("count", [1, 8])
-def test_requests_wait_for_the_first_upstream_to_be_known(count):
-    """A caller is refused since requests reach a new owner before its upstreams do."""
+def test_requests_wait_for_the_first_announced_upstream(count):
+    """Requests that reached a new owner before any announcement were refused."""
     scheduler = PoolScheduler()
     waiting = [request(f"r{n}", output_tokens=1000) for n in range(count)]
     assert scheduler.register_all(waiting, NOW) == []
--- a/tests/components/dispatch/test_upstream_events.py
+++ b/tests/components/dispatch/test_upstream_events.py
@@ -1,4 +1,4 @@
-"""What an owner tells of its upstreams and of what it gives up."""
+"""Tests of upstream events and of the basis of refusals."""
 
 import pytest
 
@@ -19,10 +19,10 @@
 
 
 def changes(scheduler: PoolScheduler) -> list[tuple[str, str]]:
-    return [(news.upstream, news.change) for news in scheduler.take_events()]
+    return [(event.upstream, event.change) for event in scheduler.take_events()]
 
 
-def test_use_of_an_upstream_is_told_from_first_to_last():
+def test_events_of_an_upstream_from_first_use_to_leaving():
     scheduler = PoolScheduler(REGISTERED_PARAMETERS)
     scheduler.announce(upstream(), NOW)
     assert changes(scheduler) == [("engine-1", UpstreamChange.USABLE)]
@@ -34,8 +34,8 @@
     ]
 
 
-def test_sick_upstream_is_told_with_the_time_of_its_probe():
-    """Requests wait beside an idle upstream, and nothing tells why it gets none."""
+def test_event_of_an_unhealthy_upstream_has_the_time_of_its_probe():
+    """Requests waited beside an idle upstream, and no event stated the reason."""
     scheduler = PoolScheduler(REGISTERED_PARAMETERS)
     scheduler.announce(upstream(), NOW)
     scheduler.take_events()
@@ -44,8 +44,8 @@
         scheduler.register(request(name), NOW)
         scheduler.started(name, NOW)
         scheduler.finished(completion(name, outcome="unknown"), NOW + 0.1)
-    (news,) = scheduler.take_events()
-    assert (news.change, round(news.probe_in, 3)) == (UpstreamChange.UNHEALTHY, 0.5)
+    (event,) = scheduler.take_events()
+    assert (event.change, round(event.probe_in, 3)) == (UpstreamChange.UNHEALTHY, 0.5)
     scheduler.tick(NOW + 1)
     scheduler.register(request("probe"), NOW + 1)
     scheduler.started("probe", NOW + 1)
@@ -53,7 +53,7 @@
     assert changes(scheduler) == [("engine-1", UpstreamChange.HEALTHY)]
 
 
-def test_refusal_tells_size_waits_and_how_many_upstreams_there_were():
+def test_refusal_basis_has_size_wait_and_number_of_upstreams():
     scheduler = PoolScheduler(REGISTERED_PARAMETERS)
     scheduler.register(request(deadline=NOW + 1.0), NOW)
     (refused,) = scheduler.tick(NOW + 1.5)
@@ -69,7 +69,7 @@
     )
 
 
-def test_refusal_tells_the_wait_that_was_expected_and_that_the_objective_was_missed():
+def test_refusal_basis_has_the_expected_wait_and_the_missed_objective():
     scheduler = PoolScheduler(REGISTERED_PARAMETERS)
     scheduler.announce(upstream(slots=1), NOW)
     scheduler.register(request("runs"), NOW)
@@ -83,20 +83,20 @@
     assert 0.0 < refused.basis.expected_wait < 2.0
 
 
-def test_news_that_nobody_takes_is_bounded():
-    feed = UpstreamEvents()
+def test_kept_events_are_bounded():
+    events = UpstreamEvents()
     for number in range(MAX_EVENTS + 5):
-        feed.record(UpstreamEvent(str(number), UpstreamChange.UNHEALTHY, 0.0, 0.0, 0))
-    assert [news.upstream for news in feed.take()][0] == "5"
-    assert feed.take() == []
+        events.record(UpstreamEvent(str(number), UpstreamChange.UNHEALTHY, 0.0, 0.0, 0))
+    assert [event.upstream for event in events.take()][0] == "5"
+    assert events.take() == []
 
 
-def test_caller_is_told_that_there_is_no_upstream_and_to_come_back_soon():
-    """Callers with a second to spare are told to come back in a minute.
+def test_refusal_without_upstreams_has_its_reason_and_a_short_retry_after():
+    """Callers with a deadline of a second got a Retry-After of a minute.
 
-    All upstreams of a service are gone. What waits drains at no rate that was ever
-    measured, and the reason that was told is that the request is too late, as if others
-    stood before it.
+    All upstreams of a service were gone. No drain rate had ever been measured for the
+    waiting requests, and the refusals stated that requests were too late, as if others
+    had been queued before them.
     """
     scheduler = PoolScheduler(REGISTERED_PARAMETERS)
     now = NOW
--- a/tests/components/dispatch/test_upstream_rate_limiter.py
+++ b/tests/components/dispatch/test_upstream_rate_limiter.py
@@ -1,4 +1,4 @@
-"""Tests of the limiter at which an upstream that names a limit is sent requests."""
+"""Tests of the limiter for upstreams that state a rate limit."""
 
 import random
 from bisect import bisect_left
@@ -25,7 +25,7 @@
 
 
 def allowed(rate: float) -> float:
-    """Return what a window may hold at most: the promise to upstreams."""
+    """Return the most requests that a window may contain, as promised to upstreams."""
     return 1.5 * rate * WINDOW_SECONDS + 5
 
 
@@ -35,7 +35,7 @@
 
 
 def paced(limiter: UpstreamRateLimiter, begin: float, end: float) -> list[float]:
-    """Return when requests are sent if one more always waits."""
+    """Return when requests are sent while more are always waiting."""
     now, times = begin, []
     while (now := now + limiter.wait_seconds(now)) < end:
         limiter.acquire(now)
@@ -73,7 +73,7 @@
 
 
 @given(RATES, st.floats(0.0, 30.0))
-def test_pause_saves_up_no_more_than_a_burst(rate: float, pause: float):
+def test_pause_accumulates_no_more_than_a_burst(rate: float, pause: float):
     limiter = UpstreamRateLimiter()
     limiter.update(rate, NOW, NOW)
     times = paced(limiter, NOW, NOW + 3)
@@ -88,7 +88,7 @@
     assert limiter.wait_seconds(NOW) == 0.0
 
 
-def test_last_answer_counts_in_the_order_of_their_times():
+def test_newest_response_counts_whatever_the_order_of_arrival():
     limiter = UpstreamRateLimiter()
     assert limiter.update(2.0, NOW + 1, NOW + 2)
     assert not limiter.update(None, NOW, NOW + 2)
@@ -116,7 +116,7 @@
 
 
 def play(scheduler: PoolScheduler, begin: float, seconds: float) -> dict[str, list]:
-    """Have far more asked for than a limit allows; return the grants' times by name."""
+    """Send far more requests than a limit allows; return grant times by upstream."""
     times_by_name: dict[str, list] = {}
     running: list[tuple[float, str, str]] = []
     rng = random.Random(7)
@@ -150,7 +150,7 @@
     assert len(times["e2"]) > 8 * len(times["e1"]) or rate > 1
 
 
-def test_limited_upstream_holds_up_nobody_beside_free_ones():
+def test_limited_upstream_delays_no_request_beside_free_ones():
     scheduler = pool("e1", "e2")
     scheduler.update_rate_limit(rate_limit(0.5), NOW)
     for number in range(4):
@@ -167,7 +167,7 @@
     assert len(granted(ended)) == 4
 
 
-def test_limit_of_an_earlier_start_does_not_bind_a_new_one():
+def test_limit_of_an_earlier_incarnation_does_not_apply_to_a_new_one():
     scheduler = pool("e1")
     scheduler.update_rate_limit(rate_limit(0.5), NOW)
     scheduler.announce(build.upstream("e1", incarnation=2), NOW + 1)
@@ -178,7 +178,7 @@
     assert all(grants)
 
 
-def test_request_that_waits_for_a_turn_is_granted_at_that_time():
+def test_request_that_waits_for_the_limiter_is_granted_when_it_allows():
     scheduler = pool("e1")
     scheduler.tick(NOW)
     scheduler.update_rate_limit(rate_limit(3.0), NOW)
@@ -190,7 +190,7 @@
     assert now == pytest.approx(NOW + 1 / 3)
 
 
-def test_callers_are_told_of_the_smaller_capacity():
+def test_retry_after_reflects_the_smaller_capacity():
     free, limited = pool("e1", slots=20), pool("e1", slots=20)
     limited.update_rate_limit(rate_limit(1.0), NOW)
     for number in range(40):
@@ -205,7 +205,7 @@
 
 
 @pytest.mark.parametrize("announced_first", [True, False])
-def test_new_owner_hears_of_limits_and_upstreams_in_any_order(announced_first: bool):
+def test_new_owner_receives_limits_and_upstreams_in_any_order(announced_first: bool):
     made = OwnedPool(build_messages.POOL, 2, make_scheduler("engine"), NOW)
     made.configure(build_messages.config(), NOW)
     limit = messages.UpstreamLimit(
