--- a/bitterntiller/components/control/__init__.py
+++ b/bitterntiller/components/control/__init__.py
@@ -1,4 +1,4 @@
-"""Control: configuration, owners of pools and claims, kept by a replicated log."""
+"""Control plane: configuration, pool owners and claims in a replicated log."""
 
 from collections.abc import Awaitable, Callable
 
@@ -10,25 +10,25 @@
 from bitterntiller.core.runtime import Runtime
 
 OpenLog = Callable[[Runtime, StateMachine], Awaitable[ReplicatedLog]]
-"""Opens the log, replays it into the state machine and lets it run."""
+"""Opens the log, replays it into the state machine and starts replication."""
 
 
 async def async_setup(
     runtime: Runtime,
     open_log: OpenLog,
     parse: ParseConfig = parse_config,
-    assigns: bool = True,
+    assigns_owners: bool = True,
 ) -> ControlCoordinator:
-    """Open the log and answer nodes and operators until the process unloads.
+    """Open the log and serve nodes and operators until the process unloads.
 
-    parse reads the documents of configurations. assigns tells whether control gives
-    pools to owners.
-    Raise TimingsError for timings that would break the promise of leases.
+    parse validates and parses configuration documents. assigns_owners selects
+    whether control assigns pools to owners.
+    Raise TimingsError for timings under which a lease could outlast its replacement.
     """
     check_timings(runtime.settings.timings)
     state = ControlState()
     log = await open_log(runtime, state)
-    coordinator = ControlCoordinator(runtime, log, state, parse, assigns)
+    coordinator = ControlCoordinator(runtime, log, state, parse, assigns_owners)
     await coordinator.async_start()
     runtime.add_diagnostics("control", coordinator.describe)
     return coordinator
--- a/bitterntiller/components/control/proposals.py
+++ b/bitterntiller/components/control/proposals.py
@@ -1,4 +1,4 @@
-"""Commands to the replicated log, and how their fate is told."""
+"""Proposals of commands to the replicated log, and their outcomes."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -8,8 +8,8 @@
 from bitterntiller.components.control.claims import claim_reply
 from bitterntiller.components.control.const import (
     CLAIM_FULL,
-    CLAIM_GROUPS,
-    MAX_CLAIM_GROUP,
+    CONCURRENT_CLAIM_GROUPS,
+    MAX_CLAIMS_PER_GROUP,
     MAX_WAITING_CLAIMS,
     PROPOSE_TIMEOUT,
 )
@@ -17,11 +17,14 @@
 from bitterntiller.protocol import decode, encode, messages
 
 CommandMaker = Callable[[], Any]
-"""Returns an empty messages.Command with the present times."""
+"""Returns a messages.Command that has only the current times set."""
 
 
-class Proposed(NamedTuple):
-    """status is committed, not-leader or unknown; result only when committed."""
+class CommandOutcome(NamedTuple):
+    """The outcome of a proposed command.
+
+    status is committed, not-leader or unknown; result is set only for committed.
+    """
 
     status: str
     result: Any
@@ -29,28 +32,28 @@
 
 
 class Proposer:
-    """Puts commands into the log; claims that come together share a command."""
+    """Proposes commands to the log; concurrent claims share a command."""
 
     def __init__(self, log: ReplicatedLog, make_command: CommandMaker) -> None:
         self._log = log
         self._make_command = make_command
         self._waiting: curio.Queue = curio.Queue()
 
-    async def async_propose(self, **content: Any) -> Proposed:
-        """Propose a command with one of the contents of messages.Command."""
+    async def async_propose(self, **content: Any) -> CommandOutcome:
+        """Propose a messages.Command with the given fields set."""
         command = self._make_command()
         for name, value in content.items():
             setattr(command, name, value)
         outcome = await self._log.async_propose(encode(command), PROPOSE_TIMEOUT)
         if outcome.status != "committed":
-            return Proposed(outcome.status, None, outcome.leader)
+            return CommandOutcome(outcome.status, None, outcome.leader)
         result = decode(messages.CommandResult, outcome.result)
-        return Proposed(outcome.status, result, outcome.leader)
+        return CommandOutcome(outcome.status, result, outcome.leader)
 
     async def async_claim(self, claim: Any) -> Any:
         """Commit a messages.Claim and return its messages.ClaimReply.
 
-        Turned away as full, and certainly not committed, when too many wait.
+        If too many claims wait, the status is full and the claim was not proposed.
         """
         if self._waiting.qsize() >= MAX_WAITING_CLAIMS:
             return claim_reply(CLAIM_FULL)
@@ -60,15 +63,15 @@
         return item.reply
 
     async def async_run(self) -> None:
-        """Commit the waiting claims, some groups at a time."""
+        """Commit waiting claims, several groups concurrently."""
         async with curio.TaskGroup() as group:
-            for _ in range(CLAIM_GROUPS):
+            for _ in range(CONCURRENT_CLAIM_GROUPS):
                 await group.spawn(self._async_commit_groups())
 
     async def _async_commit_groups(self) -> None:
         while True:
             group = [await self._waiting.get()]
-            while not self._waiting.empty() and len(group) < MAX_CLAIM_GROUP:
+            while not self._waiting.empty() and len(group) < MAX_CLAIMS_PER_GROUP:
                 group.append(await self._waiting.get())
             await self._async_commit(group)
 
--- a/bitterntiller/components/replication/sending.py
+++ b/bitterntiller/components/replication/sending.py
@@ -16,10 +16,10 @@
 def replicate(state: State, replica: str, now: float) -> bool:
     """Send entries as far as flow control lets; tell whether any left."""
     tuning, progress, sent = state.tuning, state.progress_by_replica[replica], False
-    if progress.contact < now - tuning.election_max:
+    if progress.last_contact < now - tuning.election_max:
         return False
     while progress.next <= state.log.last_index:
-        if not progress.may_send(tuning.in_flight):
+        if not progress.may_send(tuning.max_in_flight):
             break
         if progress.next <= state.log.base_index:
             return _begin_snapshot(state, replica)
@@ -51,7 +51,7 @@
         state.log.term_at(prev) or 0,
         entries,
         state.commit,
-        state.reads.round,
+        state.pending_reads.round,
         state.hard.boot,
     )
     state.send(replica, message)
@@ -82,7 +82,7 @@
         snapshot.data[offset:stop],
         stop >= len(snapshot.data),
         encode_members(snapshot.members.all),
-        state.reads.round,
+        state.pending_reads.round,
         snapshot.members.index,
         state.hard.boot,
     )
--- a/tests/components/control/test_waiting_heartbeats.py
+++ b/tests/components/control/test_waiting_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats that come while control has no leader."""
+"""Heartbeats that arrive while control has no leader."""
 
 import curio
 
@@ -12,9 +12,10 @@
 
 
 def test_heartbeat_waits_for_the_leader(monkeypatch):
-    """Entry hosts refuse requests for a third of a second though control is back.
+    """Guards against entry hosts rejecting requests for a third of a second.
 
-    They asked while there was no leader, were told so, and ask again after a pause.
+    Control has recovered, but their heartbeats were rejected while it had no leader,
+    and are repeated only after a delay.
     """
 
     async def run():
@@ -31,7 +32,7 @@
         await control.async_start(tick=False)
         async with control._runtime.stack:
             node = make_node(clock, network)
-            beat = await curio.spawn(node.async_beat)
+            beat = await curio.spawn(node.async_send_heartbeat)
             await curio.sleep(0.02)
             assert not beat.terminated
             await elected.set()
@@ -41,7 +42,7 @@
     curio.run(run)
 
 
-def test_heartbeat_is_refused_when_no_leader_comes(monkeypatch):
+def test_heartbeat_is_rejected_without_a_leader(monkeypatch):
     monkeypatch.setattr(coordinator, "LEADER_WAIT", 0.01)
 
     async def run():
@@ -51,15 +52,15 @@
         await control.async_start(tick=False)
         async with control._runtime.stack:
             node = make_node(clock, network)
-            assert not await node.async_beat()
+            assert not await node.async_send_heartbeat()
 
     curio.run(run)
 
 
-def test_hosts_of_one_moment_hear_of_each_other_soon():
-    """Requests wait for an owner a quarter of a second after all hosts are back.
+def test_first_reply_lists_hosts_that_started_together():
+    """Guards against requests waiting 0.25 s for an owner after all hosts restart.
 
-    The leader tells the hosts it knows, which it looked at before any was heard.
+    The leader would send a directory that it built before the first heartbeat.
     """
 
     async def run():
@@ -68,7 +69,7 @@
         await control.async_start(tick=False)
         async with control._runtime.stack:
             node = make_node(clock, network)
-            assert await node.async_beat()
+            assert await node.async_send_heartbeat()
             assert set(node.hosts_by_name) == {node.make_heartbeat().host}
 
     curio.run(run)
