--- a/tests/components/dispatch/builders.py
+++ b/tests/components/dispatch/builders.py
@@ -1,4 +1,4 @@
-"""Builders of requests, upstreams and completions."""
+"""Builders of requests, upstream states and completions."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 
 
 def request(request_id: str = "r1", **changes: Any) -> WaitingRequest:
-    """Return a small request of the top tier that has 30 seconds."""
+    """Return a small request of the top tier with a deadline in 30 seconds."""
     return WaitingRequest(
         request_id=request_id,
         workspace="foresters",
@@ -25,7 +25,7 @@
 
 
 def upstream(name: str = "engine-1", **changes: Any) -> UpstreamState:
-    """Return a ready engine with four slots."""
+    """Return the state of a ready engine with four slots."""
     return UpstreamState(
         name=name,
         address="127.0.0.1:9001",
@@ -39,7 +39,7 @@
 
 
 def completion(request_id: str, name: str = "engine-1", **changes: Any) -> Completion:
-    """Return a completion that took one second."""
+    """Return the completion of a request that took one second."""
     return Completion(
         request_id=request_id,
         upstream=name,
--- a/tests/components/dispatch/checker.py
+++ b/tests/components/dispatch/checker.py
@@ -1,4 +1,4 @@
-"""Drives a scheduler and checks after every call what must always hold."""
+"""Simulation that drives a scheduler and checks its invariants after every call."""
 
 import math
 import pickle
@@ -23,9 +23,10 @@
 
 
 class Checker:
-    """A small world around a scheduler: what waits, what runs, who is there.
+    """Simulates the requests and upstreams of a scheduler and checks its decisions.
 
-    It keeps its own books from the calls and decisions alone.
+    Waiting and running requests are tracked from the calls and decisions only, without
+    the state of the scheduler.
     """
 
     def __init__(
@@ -41,8 +42,8 @@
         self.leaving: set[int] = set()
         self.incarnations = [1] * len(slots)
         self.sequences = [0] * len(slots)
-        self.heard = [0.0] * len(slots)
-        self.told: set[str] = set()
+        self.announced_at = [0.0] * len(slots)
+        self.registered_ids: set[str] = set()
         self.refused: list[tuple[WaitingRequest, Refused]] = []
         self.grants = 0
         self._requests_by_id: dict[str, WaitingRequest] = {}
@@ -52,7 +53,7 @@
             self.announce(index)
 
     def register(self, **fields: Any) -> None:
-        """Have a new request arrive."""
+        """Register a new request."""
         self._number += 1
         name = f"r{self._number}"
         waiting = request(name, arrived=self.now, **fields)
@@ -61,7 +62,7 @@
         self._call("register", waiting)
 
     def cancel(self, index: int) -> None:
-        """Have a caller go away, waiting or running."""
+        """Cancel a waiting or running request."""
         names = [*self.waiting_by_id, *self.granted_by_id]
         if names:
             name = names[index % len(names)]
@@ -69,7 +70,7 @@
             self._call("cancel", name)
 
     def give_back(self, index: int, reason: str) -> None:
-        """Have a grant returned whose request goes on waiting."""
+        """Return a grant; its request is queued again."""
         names = list(self.granted_by_id)
         if names:
             name = names[index % len(names)]
@@ -82,20 +83,21 @@
             self._call("returned", name, reason, True)
 
     def slow_down(self, index: int, factor: float) -> None:
-        """Let an upstream take a multiple of its time from now on."""
+        """Multiply the service time of an upstream by a factor from now on."""
         self.speeds[index % len(self.speeds)] = factor
 
     def leave(self, index: int) -> None:
-        """Have an upstream announce that it leaves, or comes back."""
+        """Announce that an upstream is leaving, or that it is no longer."""
         index %= len(self.slots)
         self.leaving ^= {index}
         self.announce(index)
 
     def restart(self, index: int) -> None:
-        """Have an upstream start again under its name, and count from the beginning.
+        """Restart an upstream under its name, with sequences from 1 again.
 
-        What ran there is lost, and its hosts tell so after the new start is announced.
-        Late words of the earlier life, that it leaves among them, change nothing.
+        Its running requests are lost, which their entry hosts report after the new
+        incarnation is announced. A late announcement of the old incarnation, even that
+        it is leaving, must be ignored.
         """
         index %= len(self.slots)
         name = f"e{index}"
@@ -112,12 +114,12 @@
         assert self.scheduler.announce(late, self.now) == (False, [])
 
     def fail_over(self) -> None:
-        """Replace the owner: running work is adopted, waiting work registers.
+        """Replace the owner: running requests are adopted, waiting ones registered.
 
-        The new owner can displace only what it was told of by then.
+        The new owner can only shed requests that are registered with it by then.
         """
         self.scheduler = self._new()
-        self.told.clear()
+        self.registered_ids.clear()
         for index in range(len(self.slots)):
             self.announce(index)
         for name, grant in self.granted_by_id.items():
@@ -127,7 +129,7 @@
             self._call("register", waiting)
 
     def advance(self, seconds: float) -> None:
-        """Let time pass: work ends, upstreams announce, the scheduler wakes."""
+        """Advance the time: requests end, upstreams announce, the scheduler ticks."""
         until = self.now + seconds
         while self.now < until:
             due = [end for end in self.ends_by_id.values() if end > self.now]
@@ -136,14 +138,14 @@
             for name in [n for n, end in self.ends_by_id.items() if end <= self.now]:
                 self._finish(name)
             for index in range(len(self.slots)):
-                if self.now - self.heard[index] >= 1.0:
+                if self.now - self.announced_at[index] >= 1.0:
                     self.announce(index)
             self._call("tick")
 
     def announce(self, index: int) -> None:
-        """Have an upstream announce itself."""
+        """Announce an upstream."""
         self.sequences[index] += 1
-        self.heard[index] = self.now
+        self.announced_at[index] = self.now
         state = upstream(
             f"e{index}",
             slots=self.slots[index],
@@ -169,7 +171,7 @@
         self._call("finished", done._replace(first_token=total / 4))
 
     def seconds(self, name: str, upstream_name: str) -> float:
-        """Return how long an upstream takes for a request."""
+        """Return the service time of a request at an upstream in seconds."""
         waiting = self._requests_by_id[name]
         seconds = waiting.prompt_tokens / 4000 + waiting.output_tokens * 0.02
         return seconds * self.speeds[int(upstream_name[1:])]
@@ -181,8 +183,8 @@
 
     def _call(self, call: str, *arguments: Any) -> None:
         if call == "register":
-            self.told.add(arguments[0].request_id)
-        # A copy as bytes costs a tenth of deepcopy, and few of them are looked at.
+            self.registered_ids.add(arguments[0].request_id)
+        # Pickling costs a tenth of deepcopy, and few of these copies are used.
         before = pickle.dumps(self.scheduler)
         waiting = dict(self.waiting_by_id)
         decisions = getattr(self.scheduler, call)(*arguments, self.now)
@@ -194,12 +196,14 @@
     def _take(self, decisions: list[Decision]) -> None:
         for decision in decisions:
             name = decision.request_id
-            assert name in self.waiting_by_id, "a decision on what does not wait"
+            assert name in self.waiting_by_id, "decision on a request not waiting"
             waiting = self.waiting_by_id.pop(name)
             if isinstance(decision, Refused):
                 assert 0 < decision.retry_after < math.inf
-                leaves = waiting.start_by
-                assert leaves is None or self.now <= leaves, "told after it had left"
+                start_by = waiting.start_by
+                assert start_by is None or self.now <= start_by, (
+                    "refused after the caller gave up"
+                )
                 self.refused.append((waiting, decision))
                 continue
             self._check_grant(waiting, decision)
@@ -211,7 +215,7 @@
     def _check_grant(self, waiting: WaitingRequest, grant: Granted) -> None:
         index = int(grant.upstream[1:])
         assert index not in self.leaving
-        assert self.now - self.heard[index] <= SILENCE
+        assert self.now - self.announced_at[index] <= SILENCE
         names = waiting.upstream_names
         assert names is None or grant.upstream in names
         assert waiting.deadline > self.now
@@ -235,17 +239,17 @@
         call: str,
         arguments: tuple,
     ) -> None:
-        """Check that nothing lower that waits was spared, or was in the way."""
+        """Check that no waiting request of a lower tier was spared or in the way."""
         victim = waiting_by_id[refused.request_id]
         lower = [
             waiting
             for waiting in self.waiting_by_id.values()
-            if waiting.request_id in self.told
+            if waiting.request_id in self.registered_ids
             and waiting.tier_rank > victim.tier_rank
             and _compete(waiting, victim)
         ]
         if refused.reason in ("shed", "queue-full"):
-            assert not lower, "shed while lower-tier work waits"
+            assert not lower, "shed while a request of a lower tier waits"
         if not lower:
             return
         displaced = pickle.loads(before)
@@ -256,7 +260,7 @@
             isinstance(decision, Refused) and decision.request_id == refused.request_id
             for decision in decisions
         )
-        assert still, "refused because of lower-tier work that waits"
+        assert still, "refused because of a waiting request of a lower tier"
 
 
 def _compete(one: WaitingRequest, other: WaitingRequest) -> bool:
--- a/tests/components/dispatch/fakes.py
+++ b/tests/components/dispatch/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces of the dispatch role."""
+"""Fakes of the interfaces that the dispatch role uses."""
 
 from typing import Any, NamedTuple
 
@@ -20,7 +20,7 @@
 
 
 class FakeDirectory:
-    """Has this host as the owner, under an epoch that can be changed."""
+    """Directory in which this host owns each pool, under an epoch that can be set."""
 
     def __init__(self) -> None:
         self.epoch = 1
@@ -32,7 +32,7 @@
 
 
 class FakeLinks:
-    """Keeps what was sent; sending to a stuck address never ends."""
+    """Records the messages sent; sending to an address in stuck never returns."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, Any]] = []
--- a/tests/components/dispatch/test_foreign_work.py
+++ b/tests/components/dispatch/test_foreign_work.py
@@ -1,4 +1,4 @@
-"""Work of others at an upstream, as its late reports tell of it."""
+"""Foreign requests at an upstream, as estimated from its load reports."""
 
 import pytest
 
@@ -12,8 +12,8 @@
 SLOTS = 4
 
 
-def full_of_other_work(kind: str) -> tuple[PoolScheduler, float]:
-    """Return an owner whose upstream has told of twice its slots, and the time."""
+def owner_of_full_upstream(kind: str) -> tuple[PoolScheduler, float]:
+    """Return an owner whose upstream reported twice its slots as used, and the time."""
     scheduler = PoolScheduler(REGISTERED_PARAMETERS._replace(kind=kind))
     scheduler.announce(upstream(slots=SLOTS), NOW)
     now = NOW
@@ -33,14 +33,15 @@
 
 
 @pytest.mark.parametrize("kind", ["engine", "plain"])
-def test_upstream_that_was_full_of_other_work_is_tried_again(kind):
-    """An upstream gets no work for ever after it has told once that others fill it.
+def test_upstream_full_of_foreign_requests_is_tried_again(kind):
+    """An upstream that was once full of foreign requests never gets work again.
 
-    Its last answer tells of as much work besides this owner's as it has slots: runs
-    that their callers have left, or of another owner during a cut. That ends, but only
-    an answer would tell so, and with its slots taken it is sent nothing to answer.
+    The load report in its last response counts as many foreign requests as it has
+    slots: runs whose callers disconnected, or those of another owner during a network
+    cut. They end, but only another response would report that, and the upstream gets no
+    request while all its slots count as taken.
     """
-    scheduler, now = full_of_other_work(kind)
+    scheduler, now = owner_of_full_upstream(kind)
     assert not granted(scheduler, now)
     while now < NOW + 60.0:
         now += 0.25
--- a/tests/components/dispatch/test_idle_cost.py
+++ b/tests/components/dispatch/test_idle_cost.py
@@ -1,4 +1,4 @@
-"""What a host costs that has nothing to do, and what it knows when work comes."""
+"""Cost of idle hosts, and decisions of an owner after an idle time."""
 
 import time
 
@@ -22,47 +22,47 @@
 
 HOSTS = 300
 MOST_REPORTS = 1.0
-"""Reports a second that a quiet pair of an entry host and an owner may cost: a tenth of
-the ten that each pair cost before, whatever the load."""
+"""Maximum reports per second of an idle pair of entry host and owner: a tenth of the
+ten that each pair sent before, whatever the load."""
 
 MOST_UNITS = 0.23
-"""What an owner may spend on the reports of 300 quiet hosts in a second, in units of
-_unit(): a tenth of what ten reports a second cost. Measured: 2.1 to 2.4 at ten a
-second, as before, and 0.11 to 0.12 now."""
+"""Maximum processor time per second that an owner spends on the reports of 300 idle
+hosts, in units of _unit(): a tenth of the cost of ten reports per second. Measured: 2.1
+to 2.4 with ten per second, as before, and 0.11 to 0.12 now."""
 
 
 class Registered:
-    """Upstreams that control has told."""
+    """The upstreams registered with control."""
 
     def __init__(self) -> None:
         self.version = 1
         self.by_name = {"e1": build.announce("e1", 1)}
 
     def leave(self) -> None:
-        """Have the only upstream leave."""
+        """Set the only upstream to leaving."""
         self.version += 1
         leaving = build.announce("e1", 1)
         leaving.state = "leaving"
         self.by_name = {"e1": leaving}
 
 
-def chosen_owner(runtime: FakeRuntime, registered: Registered) -> DispatchCoordinator:
-    """Return the dispatch role of a host that entry hosts may choose as an owner."""
+def owner_with(runtime: FakeRuntime, registered: Registered) -> DispatchCoordinator:
+    """Return the dispatch role of a host with registered upstreams."""
     views = (FakeLease(), FakeConfig(), FakeDirectory())
     return DispatchCoordinator(runtime, *views, make_scheduler, registered)
 
 
-def test_grant_after_a_pause_rests_on_the_newest_list_of_upstreams():
-    """A request is sent to an upstream that left while nobody asked for anything.
+def test_grant_after_a_pause_uses_the_newest_list_of_upstreams():
+    """A request is sent to an upstream that left while the owner was idle.
 
-    Without requests an owner looks at the list of upstreams twice a second only.
+    An idle owner checks the list of upstreams only twice a second.
     """
     runtime = FakeRuntime()
     runtime.clock = RuntimeClock()
     registered = Registered()
 
     async def async_main() -> None:
-        owner = chosen_owner(runtime, registered)
+        owner = owner_with(runtime, registered)
         task = await curio.spawn(owner.async_run())
         await curio.sleep(0.15)
         registered.leave()
@@ -81,7 +81,7 @@
     runtime.clock = RuntimeClock()
 
     async def async_main() -> float:
-        owner = chosen_owner(runtime, Registered())
+        owner = owner_with(runtime, Registered())
         task = await curio.spawn(owner.async_run())
         await curio.sleep(0.3)
         begun = time.monotonic()
@@ -95,7 +95,7 @@
 
 
 def _unit() -> float:
-    """Return the processor seconds of a fixed piece of work: 100,000 additions."""
+    """Return the processor time in seconds of 100,000 additions."""
     begun = time.process_time()
     total = 0
     for number in range(100_000):
@@ -105,14 +105,14 @@
 
 
 def reports_a_second() -> float:
-    """Return how often an entry host without requests reports to an owner."""
+    """Return how many reports per second an idle entry host sends to an owner."""
     return 1 / report_due("core-1", 0.0, [], pending=False, asking=False)
 
 
-def test_quiet_hosts_cost_an_owner_little():
-    """An owner of pools is busy with 300 hosts that do nothing.
+def test_idle_hosts_cost_an_owner_little():
+    """An owner is busy with the reports of 300 idle hosts.
 
-    Each reported ten times a second; that was as much work as its requests.
+    Each host reported ten times a second, which cost as much as the requests.
     """
     runtime = FakeRuntime()
     reports = [
@@ -132,7 +132,7 @@
 
     async def async_main() -> float:
         owner = coordinator(runtime, FakeDirectory())
-        desk = ReportReceiver(
+        receiver = ReportReceiver(
             runtime,
             FakeLease(),
             FakeConfig(),
@@ -143,7 +143,7 @@
         begun = time.process_time()
         for _ in range(10):
             for report in reports:
-                await desk.async_on_report("", report)
+                await receiver.async_on_report("", report)
         return (time.process_time() - begun) / 10
 
     units = curio.run(async_main) * reports_a_second() / min(_unit() for _ in range(5))
--- a/tests/components/dispatch/test_isolation.py
+++ b/tests/components/dispatch/test_isolation.py
@@ -1,4 +1,4 @@
-"""Tests of where requests run under which upstreams have ended."""
+"""Isolation and quarantine of requests that may have crashed upstreams."""
 
 import random
 from typing import NamedTuple
@@ -18,7 +18,8 @@
 NOW = 1000.0
 SLOTS = 4
 MOST_CRASHES = const.QUARANTINE_THRESHOLD + 1
-"""Engines that one request ends in a minute: one after its first quarantine."""
+"""Maximum number of engines that one request crashes in a minute: those up to its first
+quarantine and one after it."""
 
 
 def pool(history: CrashHistory, upstreams: int) -> PoolScheduler:
@@ -42,7 +43,7 @@
     return [d.reason for d in decisions if isinstance(d, Refused)]
 
 
-def test_quarantined_request_is_refused_at_once_with_the_time_of_its_end():
+def test_quarantined_request_is_refused_until_the_end_of_its_quarantine():
     history = CrashHistory()
     history.merge(crashed(POISON, 3), NOW)
     scheduler = pool(history, 2)
@@ -52,7 +53,7 @@
     assert refused.retry_after == pytest.approx(history.quarantined_for(POISON, NOW))
 
 
-def test_waiting_copies_are_refused_when_the_last_allowed_crash_is_heard_of():
+def test_waiting_copies_are_refused_when_the_quarantine_begins():
     history = CrashHistory()
     scheduler = pool(history, 0)
     assert not scheduler.register(build.request("r1", fingerprint=POISON), NOW)
@@ -63,7 +64,7 @@
     assert decisions[0].request_id == "r1"
 
 
-def test_suspect_runs_as_one_copy_at_a_time():
+def test_only_one_copy_of_a_suspect_runs_at_a_time():
     history = CrashHistory()
     history.merge(crashed(POISON, 1), NOW)
     scheduler = pool(history, 3)
@@ -71,8 +72,8 @@
     second = scheduler.register(build.request("r2", fingerprint=POISON), NOW)
     assert len(granted(first)) == 1
     assert not second
-    ended = scheduler.finished(build.completion("r1", granted(first)[0]), NOW + 1)
-    assert len(granted(ended)) == 1
+    after = scheduler.finished(build.completion("r1", granted(first)[0]), NOW + 1)
+    assert len(granted(after)) == 1
 
 
 def test_request_with_two_crashes_runs_beside_no_other_suspect():
@@ -85,7 +86,7 @@
     assert granted(scheduler.register(build.request("r3", fingerprint=7), NOW))
 
 
-def test_suspects_that_wait_hold_up_nobody_else():
+def test_waiting_suspects_block_no_other_requests():
     history = CrashHistory()
     history.merge(crashed(POISON, 2), NOW)
     scheduler = pool(history, 1)
@@ -94,7 +95,7 @@
     assert granted(scheduler.register(build.request("r3", fingerprint=7), NOW))
 
 
-def test_one_copy_is_tried_when_the_quarantine_is_over():
+def test_one_copy_is_granted_after_the_quarantine():
     history = CrashHistory()
     history.merge(crashed(POISON, 3), NOW)
     later = NOW + history.quarantined_for(POISON, NOW) + 1
@@ -109,17 +110,18 @@
 
 
 class Caller(NamedTuple):
-    """One who asks the same again until it is answered, up to some times."""
+    """A caller, identified by the fingerprint of the request that it sends."""
 
     fingerprint: int
     crashes: bool
 
 
-class Play:
-    """Callers, a pool and engines in rounds; culprits end the engine that runs them.
+class CrashSimulation:
+    """Simulates callers, a pool and its engines in rounds.
 
-    In each round callers ask, what was granted runs, engines that ran a culprit or that
-    chance has chosen end and come back as new processes, and all else is answered.
+    In each round callers send their requests and the granted ones run. Engines that run
+    a culprit crash, and others do so with the probability chance; they restart as new
+    processes. All other requests succeed.
     """
 
     ENGINES = 5
@@ -129,36 +131,39 @@
         self.history = CrashHistory()
         self.scheduler = pool(self.history, self.ENGINES)
         self.now = NOW
-        self.ended: dict[int, int] = {}
+        self.crashes_by_culprit: dict[int, int] = {}
         self.quarantined_long: set[Caller] = set()
         self._chance = chance
         self._boots = [1] * self.ENGINES
-        self._numbers = 0
+        self._request_count = 0
 
-    def round(self, callers: list[Caller]) -> list[Caller]:
-        """Play one round; return those whose requests were not answered."""
+    def run_round(self, callers: list[Caller]) -> list[Caller]:
+        """Simulate one round; return the callers whose requests failed."""
         self.now += 1.0
         by_id: dict[str, Caller] = {}
         decisions: list[Decision] = []
         for caller in callers:
-            self._numbers += 1
+            self._request_count += 1
             request = build.request(
-                f"r{self._numbers}",
+                f"r{self._request_count}",
                 fingerprint=caller.fingerprint,
                 arrived=self.now,
                 deadline=self.now + 30,
             )
             by_id[request.request_id] = caller
             decisions += self.scheduler.register(request, self.now)
-        left: list[Caller] = []
+        unanswered: list[Caller] = []
         while decisions:
-            decisions = self._run(decisions, by_id, left)
+            decisions = self._run(decisions, by_id, unanswered)
         for request_id in by_id:
             self.scheduler.cancel(request_id, self.now)
-        return left
+        return unanswered
 
     def _run(
-        self, decisions: list[Decision], by_id: dict[str, Caller], left: list[Caller]
+        self,
+        decisions: list[Decision],
+        by_id: dict[str, Caller],
+        unanswered: list[Caller],
     ) -> list[Decision]:
         ids_by_engine: dict[str, list[str]] = {}
         for decision in decisions:
@@ -172,19 +177,19 @@
             if quarantined and decision.retry_after > const.FIRST_QUARANTINE_SECONDS:
                 self.quarantined_long.add(caller)
             if quarantined:
-                left.append(caller)
+                unanswered.append(caller)
             by_id.pop(decision.request_id)
         further: list[Decision] = []
         for name, ids in ids_by_engine.items():
-            further += self._end(name, ids, by_id, left)
+            further += self._end_requests(name, ids, by_id, unanswered)
         return further
 
-    def _end(
+    def _end_requests(
         self,
         name: str,
         ids: list[str],
         by_id: dict[str, Caller],
-        left: list[Caller],
+        unanswered: list[Caller],
     ) -> list[Decision]:
         number = int(name[1:])
         callers = [by_id[request_id] for request_id in ids]
@@ -197,7 +202,7 @@
                 boot = str(self._boots[number])
                 crash = Crash(fingerprint, name, boot, self.now)
                 self.history.merge(CrashUpdate((crash,)), self.now)
-                left.append(caller)
+                unanswered.append(caller)
             elif self.history.count(fingerprint, self.now):
                 cleared = Clearing(fingerprint, self.now)
                 self.history.merge(CrashUpdate(clearings=(cleared,)), self.now)
@@ -207,7 +212,9 @@
             del by_id[request_id]
         if crashes:
             for culprit in culprits:
-                self.ended[culprit] = self.ended.get(culprit, 0) + 1
+                self.crashes_by_culprit[culprit] = (
+                    self.crashes_by_culprit.get(culprit, 0) + 1
+                )
             self._boots[number] += 1
             state = build.upstream(name, slots=SLOTS, incarnation=self._boots[number])
             further += self.scheduler.announce(state, self.now)[1]
@@ -216,40 +223,43 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_innocent_requests_beside_a_culprit_are_not_quarantined(seed: int):
-    play = Play(seed, chance=0.0)
+    simulation = CrashSimulation(seed, chance=0.0)
     waiting: list[Caller] = []
     for number in range(60):
         fresh = [Caller(1000 + 10 * number + n, False) for n in range(8)]
         waiting = [caller for caller in waiting if not caller.crashes]
         callers = [*waiting, *fresh, Caller(POISON, True)]
-        play.rng.shuffle(callers)
-        waiting = play.round(callers)
-    assert play.quarantined_long == {Caller(POISON, True)}
-    assert play.ended[POISON] == MOST_CRASHES
+        simulation.rng.shuffle(callers)
+        waiting = simulation.run_round(callers)
+    assert simulation.quarantined_long == {Caller(POISON, True)}
+    assert simulation.crashes_by_culprit[POISON] == MOST_CRASHES
     assert all(caller.crashes for caller in waiting)
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_requests_are_not_quarantined_for_engines_that_crash_by_themselves(seed: int):
-    play = Play(seed, chance=0.05)
+def test_random_crashes_of_engines_quarantine_no_request(seed: int):
+    simulation = CrashSimulation(seed, chance=0.05)
     waiting: list[Caller] = []
     for number in range(60):
         fresh = [Caller(1000 + 10 * number + n, False) for n in range(10)]
-        waiting = play.round([*waiting, *fresh])
-    assert not play.quarantined_long
+        waiting = simulation.run_round([*waiting, *fresh])
+    assert not simulation.quarantined_long
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_each_of_several_culprits_ends_few_engines(seed: int):
-    play = Play(seed, chance=0.0)
+def test_each_of_several_culprits_crashes_few_engines(seed: int):
+    simulation = CrashSimulation(seed, chance=0.0)
     culprits = [Caller(POISON + n, True) for n in range(3)]
     waiting: list[Caller] = []
     for number in range(60):
         fresh = [Caller(1000 + 10 * number + n, False) for n in range(6)]
         waiting = [caller for caller in waiting if not caller.crashes]
         callers = [*waiting, *fresh, *culprits]
-        play.rng.shuffle(callers)
-        waiting = play.round(callers)
-    assert all(play.ended[item.fingerprint] <= MOST_CRASHES for item in culprits)
-    assert play.quarantined_long == set(culprits)
+        simulation.rng.shuffle(callers)
+        waiting = simulation.run_round(callers)
+    assert all(
+        simulation.crashes_by_culprit[item.fingerprint] <= MOST_CRASHES
+        for item in culprits
+    )
+    assert simulation.quarantined_long == set(culprits)
     assert all(caller.crashes for caller in waiting)
--- a/tests/components/dispatch/test_ledger.py
+++ b/tests/components/dispatch/test_ledger.py
@@ -1,4 +1,4 @@
-"""Late load reports and the account of outstanding prefill."""
+"""Ledger: load reports, foreign requests and outstanding prefill."""
 
 from bitterntiller.components.dispatch.jobs import Job
 from bitterntiller.components.dispatch.ledger import FOREIGN_DECAY_SECONDS, Ledger
@@ -15,11 +15,11 @@
     return ledger
 
 
-def test_a_late_report_of_own_work_is_not_counted_twice():
-    """A report is measured while three own requests run and comes 5 s later.
+def test_late_report_of_own_requests_is_not_counted_twice():
+    """A report is measured while three own requests run and arrives 5 s later.
 
-    If it were added to the ledger, an upstream would look twice as full as it
-    is, and get too little work. By the time it comes, one request has ended.
+    One of them has ended by then. If the report were added to the ledger, the upstream
+    would look twice as full as it is and get too few requests.
     """
     ledger = filled(3, at=10.0)
     ledger.remove(ledger.jobs_by_id["r0"], 14.0)
@@ -29,21 +29,21 @@
     assert ledger.foreign_requests(17.0) == 0.0
 
 
-def test_what_a_report_has_beyond_own_work_is_foreign():
+def test_excess_of_a_report_over_own_requests_is_foreign():
     ledger = filled(3, at=10.0)
     for _ in range(8):
         ledger.apply_load_report(UpstreamLoad(5, 2, 0, measured_at=12.0), 13.0)
     assert 3.9 < ledger.foreign_requests(13.0) <= 4.0
 
 
-def test_a_report_from_before_the_ledger_began_says_nothing():
+def test_report_from_before_the_first_request_is_ignored():
     ledger = filled(1, at=10.0)
     ledger.apply_load_report(UpstreamLoad(9, 0, 0, measured_at=9.0), 12.0)
     assert ledger.foreign_requests(12.0) == 0.0
 
 
-def test_work_of_others_counts_while_reports_repeat_it_and_fades_after():
-    """With two owners at once, each would fill the slots that the other has taken."""
+def test_foreign_requests_count_while_reported_and_decay_afterwards():
+    """With two owners at once, each fills the slots that the other one uses."""
     ledger = filled(1, at=10.0)
     now = 10.0
     for number in range(40):
@@ -53,7 +53,7 @@
     assert ledger.foreign_requests(now + FOREIGN_DECAY_SECONDS) < 1.5
 
 
-def test_a_prefill_that_hangs_does_not_look_done():
+def test_hanging_prefill_still_counts_as_backlog():
     ledger = filled(1, at=10.0)
     speed = EngineSpeed(PoolSpeed())
     assert ledger.prefill_backlog(speed, 10.0) < 1.0
--- a/tests/components/dispatch/test_objectives.py
+++ b/tests/components/dispatch/test_objectives.py
@@ -1,4 +1,4 @@
-"""Decisions for requests whose first output has an objective."""
+"""Decisions on requests with an objective for the first output."""
 
 from typing import Any
 
@@ -30,10 +30,10 @@
 
 
 def test_all_slots_are_filled_while_work_waits():
-    """Requests wait for seconds beside engines that have free slots.
+    """Requests wait for seconds although engines have free slots.
 
-    Room that was kept for higher tiers, and a bound learned from latency, held a
-    third of the slots back though nothing that ran was in danger.
+    The headroom for higher tiers and the adaptive limit kept a third of the slots free,
+    although no running request was at risk.
     """
     made = PoolScheduler(REGISTERED_PARAMETERS)
     made.announce(upstream(slots=8), NOW)
@@ -44,10 +44,11 @@
     assert len(granted) == 8
 
 
-def test_late_request_goes_behind_those_that_can_still_be_in_time():
-    """In a burst of seconds everybody is served too late, one after the other.
+def test_late_request_is_demoted_behind_those_still_in_time():
+    """In a burst of a few seconds all requests miss their objective one by one.
 
-    What has missed its objective is worth less than what has not, and took its place.
+    A request that has missed its objective is worth less, and must not be served before
+    one that can still be in time.
     """
     made = scheduler()
     occupy(made)
@@ -61,8 +62,8 @@
     assert ids(made.finished(completion("fresh"), NOW + 0.7)) == ["late"]
 
 
-def test_large_request_keeps_its_place_as_long_as_a_small_one():
-    """Large requests are refused in a long queue, small ones behind them served."""
+def test_large_request_is_demoted_no_sooner_than_a_small_one():
+    """In a long queue large requests are refused and small ones behind them served."""
     made = PoolScheduler(REGISTERED_PARAMETERS)
     made.announce(upstream(slots=1), NOW)
     for number in range(20):
@@ -78,8 +79,8 @@
     assert ids(made.finished(completion("first"), NOW + 0.8)) == ["large"]
 
 
-def test_long_output_that_just_fits_is_sent_beside_other_work():
-    """Requests with long outputs are passed over until they are late."""
+def test_long_output_that_just_fits_is_granted_beside_other_work():
+    """Requests with long outputs are skipped until they are too late."""
     made = PoolScheduler(REGISTERED_PARAMETERS)
     made.announce(upstream(slots=2), NOW)
     occupy(made)
@@ -90,8 +91,8 @@
     assert ids(made.register(long._replace(deadline=deadline), NOW)) == ["long"]
 
 
-def test_late_request_that_will_not_be_reached_is_refused_at_once():
-    """A request waits for seconds behind its tier, and is refused all the same."""
+def test_demoted_request_without_a_chance_is_refused_at_once():
+    """A demoted request waits for seconds behind its tier and is refused in the end."""
     made = scheduler()
     occupy(made)
     made.register(request("late", first_by=NOW + 0.4, start_by=NOW + 4), NOW)
@@ -102,8 +103,8 @@
     assert ids(made.tick(NOW + 0.8), Refused) == ["late"]
 
 
-def test_late_request_is_refused_at_once_also_beside_a_lower_tier():
-    """Requests of a middle tier wait in vain for seconds beside a lower one."""
+def test_demoted_request_is_refused_at_once_even_with_a_lower_tier():
+    """Demoted requests of a middle tier wait in vain while a lower tier waits, too."""
     made = scheduler(lower_share=0.0)
     occupy(made)
     late = {"first_by": NOW + 0.4, "start_by": NOW + 4}
@@ -116,7 +117,7 @@
     assert ids(made.tick(NOW + 0.8), Refused) == ["late"]
 
 
-def test_late_request_goes_before_a_lower_tier():
+def test_demoted_request_goes_before_a_lower_tier():
     made = scheduler(lower_share=0.0)
     occupy(made)
     made.register(request("late", first_by=NOW + 0.4, start_by=NOW + 9), NOW)
@@ -126,11 +127,11 @@
     assert ids(made.finished(completion("first"), NOW + 0.6)) == ["late"]
 
 
-def test_request_is_refused_when_its_caller_is_about_to_leave():
-    """A caller leaves without an answer, and hears nothing of when to come back.
+def test_request_is_refused_before_its_caller_gives_up():
+    """A caller gives up without a response and gets no Retry-After.
 
-    Its request could still have ended before its deadline, but nobody waits so long
-    for the first output.
+    The request could still end before its deadline, but the caller doesn't wait that
+    long for the first output.
     """
     made = scheduler()
     occupy(made)
@@ -144,11 +145,11 @@
     assert decisions[0].reason == Reason.TOO_LATE
 
 
-def test_refusal_does_not_wait_for_the_next_round_of_looks():
-    """A caller leaves a moment before it would have been told when to come back.
+def test_refusal_is_not_delayed_by_a_better_prefill_estimate():
+    """A caller gives up shortly before it would have received its refusal.
 
-    What was known of the fastest prefill had become better since the look was planned,
-    so that the time had not quite come, and the next look was a quarter second later.
+    The estimate of the fastest prefill had improved since the check was scheduled. The
+    request was then not quite too late, and the next check came 0.25 s later.
     """
     made = scheduler()
     occupy(made)
@@ -167,7 +168,7 @@
 
 
 def test_lower_tier_keeps_a_small_share():
-    """Short calls of the lowest tier get no service at all in a long overload."""
+    """Short calls of the lowest tier are never served in a long overload."""
     made = scheduler(lower_share=0.5)
     occupy(made)
     made.register(request("middle", tier_rank=1), NOW)
@@ -177,8 +178,8 @@
     assert ids(after) == ["low"]
 
 
-def test_silent_upstream_is_used_only_while_its_answers_come():
-    """An engine that is cut off from control only gets no work, or a dead one does."""
+def test_silent_upstream_is_used_only_while_it_responds():
+    """An engine cut off only from control gets no requests, or a dead one gets some."""
     made = scheduler()
     occupy(made)
     made.progress("first", 5, NOW + 1)
@@ -189,8 +190,8 @@
     assert ids(made.register(request("later"), NOW + 9)) == []
 
 
-def test_repeated_failures_make_an_upstream_pause():
-    """An engine that fails what it runs, beside a good health probe, gets it all."""
+def test_repeated_failures_pause_an_upstream():
+    """An engine that fails its requests but passes its health probe gets them all."""
     made = scheduler()
     for number in range(3):
         name = f"r{number}"
@@ -200,13 +201,14 @@
     assert ids(made.register(request("next"), NOW)) == []
 
 
-@pytest.mark.parametrize("told", [True, False])
-def test_prefill_is_learned_from_when_the_first_output_came(told):
-    """Long prompts are refused as late beside engines that do nothing.
+@pytest.mark.parametrize("reported", [True, False])
+def test_prefill_is_learned_from_the_time_of_the_first_output(reported):
+    """Long prompts are refused as too late although engines are idle.
 
-    An engine reads 6,000 tokens in a tenth of a second. The owner hears of the output
-    of streams twice a second only, took that for the end of the prefill, and believed
-    after some requests that a prompt of 37,000 takes nine seconds.
+    An engine prefills 6,000 tokens in a tenth of a second. The output of streams is
+    reported to the owner only twice a second. The owner took the time of the report for
+    the end of the prefill, and after some requests expected nine seconds for a prompt
+    of 37,000 tokens.
     """
     made = PoolScheduler(REGISTERED_PARAMETERS)
     made.announce(upstream(slots=8), NOW)
@@ -214,8 +216,8 @@
         now = NOW + number
         made.register(request(f"r{number}", prompt_tokens=6000), now)
         made.started(f"r{number}", now)
-        made.progress(f"r{number}", 20, now + 0.4, 0.11 if told else None)
+        made.progress(f"r{number}", 20, now + 0.4, 0.11 if reported else None)
         made.finished(completion(f"r{number}"), now + 0.9)
     [engine] = made._pool.upstreams_by_name.values()
     seconds = engine.speed.prefill_seconds(6000, 0)
-    assert (seconds < 0.15) == told
+    assert (seconds < 0.15) == reported
--- a/tests/components/dispatch/test_parking.py
+++ b/tests/components/dispatch/test_parking.py
@@ -1,4 +1,4 @@
-"""Requests that wait beside the queue."""
+"""Parking of requests outside the queue."""
 
 import pytest
 
@@ -9,12 +9,12 @@
 
 
 @pytest.mark.parametrize("upstream", ["engine-1", None])
-def test_parked_work_is_there_to_be_shed(upstream):
-    """A gold request is shed while bronze work waits.
+def test_parked_request_can_be_shed(upstream):
+    """A gold request is shed while a bronze request waits.
 
-    The bronze request is parked; when no upstream may take work just then, it is
-    parked for none in particular. Shedding puts parked work back first, but passed
-    over what waited for no upstream.
+    The bronze request is parked, without a particular upstream if none may take work at
+    that moment. Shedding queues parked requests first, but skipped those without an
+    upstream.
     """
     low = job(1, "wards")
     queue = queue_of([low])
@@ -25,8 +25,8 @@
     assert queue.head(()) is low
 
 
-def test_withdrawn_request_does_not_come_back():
-    """A caller that has left gets a grant: its parked request was put back."""
+def test_withdrawn_request_is_not_queued_again():
+    """A grant goes to a caller that disconnected while its request was parked."""
     gone = job(1, "wards")
     queue = queue_of([gone])
     parking = Parking(queue)
--- a/tests/components/dispatch/test_properties.py
+++ b/tests/components/dispatch/test_properties.py
@@ -1,4 +1,4 @@
-"""What must hold at every step of any run: tiers, one decision, limits."""
+"""Invariants of the scheduler in random runs: tiers, one decision each, limits."""
 
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
@@ -42,7 +42,7 @@
 
 
 def play(checker: Checker, event: tuple) -> None:
-    """Carry one event out."""
+    """Apply one event to the simulation."""
     match event:
         case ("arrive", rank, output, seconds, names, workspace):
             checker.register(
@@ -125,11 +125,11 @@
     assert not checker.waiting_by_id, "what waited got no answer by its deadline"
 
 
-def test_an_overload_of_three_tiers_is_shed_from_below():
-    """A burst beyond all capacity comes while lower tiers wait already.
+def test_overload_of_three_tiers_is_shed_from_the_lowest():
+    """A burst of the top tier arrives while lower tiers wait already.
 
-    Users of the top tier would see refusals although work that matters less is
-    still waiting, if the victim were the newcomer or the oldest.
+    If the newest or the oldest request were shed, callers of the top tier would be
+    refused although less important requests still wait.
     """
     checker = Checker([2, 2])
     for rank in (2, 1, 0):
--- a/tests/components/dispatch/test_queue.py
+++ b/tests/components/dispatch/test_queue.py
@@ -1,4 +1,4 @@
-"""Order between tiers, workspaces and sizes."""
+"""Order of requests between workspaces and by size."""
 
 from collections import Counter
 
@@ -37,10 +37,10 @@
     return made
 
 
-def test_a_large_workspace_does_not_keep_a_small_one_waiting():
-    """One workspace has a hundred requests waiting when another's ten arrive.
+def test_large_workspace_does_not_delay_a_small_one():
+    """A workspace has 100 requests waiting when the 10 of another one arrive.
 
-    First come, first served would let the ten wait for the hundred.
+    With first come, first served the 10 would wait for the 100.
     """
     jobs = [job(number, "large") for number in range(100)]
     jobs += [job(number, "small") for number in range(100, 110)]
@@ -55,7 +55,7 @@
     assert 38 <= first["double"] <= 42
 
 
-def test_long_work_is_overtaken_only_for_a_while():
+def test_long_work_is_overtaken_for_a_limited_time():
     ordering = new_ordering(PolicyParameters(ageing=2.0))
     long = job(0, "foresters", work=10.0)
     early, late = job(1, "foresters"), job(2, "foresters")
--- a/tests/components/dispatch/test_rollouts.py
+++ b/tests/components/dispatch/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Tests of an owner whose pool has upstreams of two versions."""
+"""Owned pools with upstreams of two versions during a rollout."""
 
 from typing import Any
 
@@ -50,14 +50,14 @@
     ],
     ids=["any", "judged", "complete", "reverted"],
 )
-def test_only_versions_that_may_serve_get_requests(rules, used):
-    """A version that nothing allows gets requests."""
+def test_only_allowed_versions_get_requests(rules, used):
+    """A version gets requests although the version rules don't allow it."""
     granted = upstreams_of(register(pool(rules), 30))
     assert {name[:3] for name in granted} == used
 
 
-def test_judged_version_gets_what_is_allowed_and_no_more():
-    """A version that may be bad gets more than its part."""
+def test_candidate_version_gets_only_its_allowance():
+    """A candidate version that may be faulty gets more requests than allowed."""
     owned = pool()
     owned.renew_allowance(7, 5, T0 + 1, T0)
     granted = upstreams_of(register(owned, 40))
@@ -67,7 +67,7 @@
 
 
 def test_request_that_waited_at_another_owner_is_not_counted_again():
-    """Each new owner counts what waits, and the new version gets more than its part."""
+    """Each new owner counts waiting requests again, so that the allowance grows."""
     owned = pool()
     owned.register(build.register("r0", waited_ms=900), "i1", T0)
     owned.register(build.register("r1", waited_ms=10), "i1", T0)
@@ -81,16 +81,16 @@
     assert not any(name.startswith("new") for name in granted)
 
 
-def test_few_upstreams_are_judged_so_that_they_are_busy():
-    """A fault under load never shows, as no upstream of the new version has any."""
+def test_few_upstreams_get_all_canary_requests():
+    """A fault under load never shows, since no upstream of the new version is busy."""
     owned = pool()
     owned.renew_allowance(7, 4 * CANARIES, T0 + 1, T0)
     granted = upstreams_of(register(owned, 40))
     assert len({name for name in granted if name.startswith("new")}) == CANARIES
 
 
-def test_allowance_lets_waiting_requests_go_though_the_old_version_is_full():
-    """The new version stands idle beside a full old one."""
+def test_new_allowance_grants_requests_while_the_old_version_is_full():
+    """The new version is idle while requests wait for the full old version."""
     owned = pool(old=1)
     register(owned, 20)
     granted = upstreams_of(owned.renew_allowance(7, 6, T0 + 1, T0))
@@ -98,8 +98,8 @@
     assert all(name.startswith("new") for name in granted)
 
 
-def test_request_that_is_retried_uses_the_allowance_again():
-    """Retries bring a bad version more requests than its part."""
+def test_retry_uses_the_allowance_again():
+    """With retries a faulty version gets more requests than allowed."""
     owned = pool(old=1, new=3)
     owned.renew_allowance(7, 2, T0 + 1, T0)
     (grant,) = [item for item in register(owned, 1) if isinstance(item, Granted)]
@@ -115,8 +115,8 @@
     assert owned.rollout.trial.exposed == 2
 
 
-def test_failure_that_is_retried_counts_against_the_version():
-    """A version whose failures are hidden by retries is found good."""
+def test_retried_failure_counts_against_the_version():
+    """A version passes because retries hide its failures."""
     owned = pool()
     owned.rollout.trial.began = T0
     owned.renew_allowance(7, 1, T0 + 1, T0)
@@ -136,22 +136,22 @@
 
 
 @pytest.mark.parametrize(("complete", "used"), [(True, "new"), (False, "old")])
-def test_verdict_is_acted_on_before_the_next_heartbeat(complete, used):
-    """Requests are sent to the old upstreams, which have stopped at the completion."""
+def test_verdict_takes_effect_before_the_next_heartbeat(complete, used):
+    """Requests are sent to old upstreams that stopped when the rollout completed."""
     owned = pool()
     owned.renew_allowance(7, 5, T0 + 1, T0)
     owned.end_trial(7, complete, T0)
     assert {name[:3] for name in upstreams_of(register(owned, 20))} == {used}
 
 
-def test_verdict_on_another_rollout_is_passed_over():
+def test_verdict_on_another_rollout_is_ignored():
     owned = pool()
     assert owned.end_trial(6, True, T0) == []
     assert {name[:3] for name in upstreams_of(register(owned, 20))} == {"old"}
 
 
-def test_requests_on_the_old_version_end_there_after_a_verdict():
-    """What runs on a version that serves no more is taken for ended."""
+def test_requests_on_the_old_version_still_run_after_a_verdict():
+    """Running requests of a version that gets no more requests count as ended."""
     owned = pool()
     granted = upstreams_of(register(owned, 3))
     owned.set_versions(COMPLETE, T0)
--- a/tests/components/dispatch/test_scheduler.py
+++ b/tests/components/dispatch/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Grants, refusals and upstreams, seen from outside."""
+"""Grants and refusals of the scheduler through its public calls."""
 
 import gc
 
@@ -21,8 +21,8 @@
     scheduler = PoolScheduler()
     scheduler.announce(upstream(slots=1), NOW)
     first = scheduler.register(request("a", tier_rank=1), NOW)
-    told = [decision._replace(basis=None) for decision in first]
-    assert told == [Granted("a", "bole-1", "engine-1", "127.0.0.1:9001", 1)]
+    decisions = [decision._replace(basis=None) for decision in first]
+    assert decisions == [Granted("a", "bole-1", "engine-1", "127.0.0.1:9001", 1)]
     assert first[0].basis.in_flight == 1
     assert scheduler.register(request("b", tier_rank=1), NOW) == []
     assert scheduler.register(request("c", tier_rank=0), NOW) == []
@@ -31,7 +31,7 @@
     assert [decision.request_id for decision in after] == ["c"]
 
 
-def test_refused_when_its_deadline_has_come():
+def test_request_is_refused_at_its_deadline():
     scheduler = PoolScheduler()
     scheduler.announce(upstream(slots=1), NOW)
     scheduler.register(request("a"), NOW)
@@ -53,7 +53,7 @@
     assert scheduler.register(request("b"), NOW + 10) == []
 
 
-def test_a_grant_that_is_not_heard_of_frees_its_slot():
+def test_expired_grant_frees_its_slot():
     scheduler = PoolScheduler()
     scheduler.announce(upstream(slots=1), NOW)
     scheduler.register(request("a"), NOW)
@@ -62,11 +62,11 @@
     assert granted.request_id == "b"
 
 
-def test_ended_requests_are_forgotten_long_before_their_deadlines():
-    """An owner's process grows with every request served, until it is killed.
+def test_ended_requests_are_freed_long_before_their_deadlines():
+    """The memory of an owner grows with every request until the process is killed.
 
-    Callers set deadlines of a day and are answered in a second. What looks at
-    a request again at its deadline held it until then, also when it had ended.
+    Callers set deadlines of a day and get the response in a second. The timer of the
+    deadline kept a reference to the request until then, even after its end.
     """
     scheduler = PoolScheduler()
     gc.collect()
@@ -85,11 +85,11 @@
 
 
 @pytest.mark.parametrize("outcome", ["rejected", "caller-gone"])
-def test_requests_at_fault_themselves_do_not_pause_an_upstream(outcome: str):
-    """One caller's bad requests keep everybody from a service for seconds.
+def test_rejected_and_cancelled_requests_do_not_pause_an_upstream(outcome: str):
+    """Bad requests of one caller make a service unavailable to all for seconds.
 
-    A script asks for bonds that don't exist, or leaves before its answers come.
-    Each counted as a failure of the upstream, which was paused as sick.
+    A script asks for bonds that don't exist, or disconnects before the response. Each
+    case counted as a failure of the upstream, which was paused as unhealthy.
     """
     scheduler = PoolScheduler()
     scheduler.announce(upstream(slots=1), NOW)
@@ -102,11 +102,11 @@
     assert len(scheduler.register(request("next"), NOW)) == 1
 
 
-def test_late_by_a_guess_is_tried_once():
-    """A new owner refuses long work for ever that its engine would end in time.
+def test_request_late_by_the_initial_estimate_is_tried_once():
+    """A new owner refuses long requests forever that its engine would end in time.
 
-    It has measured nothing, refuses by its first guess, and so measures nothing.
-    One such request is granted; until it has ended, the next are refused.
+    It has no measurements and refuses by its initial estimate, so it never gets any.
+    One such request is granted as a probe; the next are refused until it has ended.
     """
     scheduler = PoolScheduler()
     scheduler.announce(upstream(), NOW)
@@ -121,10 +121,10 @@
     assert isinstance(granted, Granted)
 
 
-def test_slowed_engine_is_tried_again():
-    """An engine was slow for a while; now it idles, and all work is refused.
+def test_formerly_slow_engine_is_tried_again():
+    """An engine was slow for a while; now it is idle and all requests are refused.
 
-    Each estimate says too late, so that no request shows that it is fast again.
+    Each is estimated to end too late, so no request can show that it is fast again.
     """
     scheduler = PoolScheduler()
     for number in range(10):
@@ -147,7 +147,7 @@
     assert len(decisions) == 10
 
 
-def test_a_workspace_stays_within_its_concurrency():
+def test_workspace_stays_within_its_concurrency_limit():
     scheduler = PoolScheduler()
     scheduler.set_limits({"foresters": WorkspaceLimits(concurrency=1)}, NOW)
     scheduler.announce(upstream(slots=4), NOW)
@@ -161,7 +161,7 @@
     assert granted.request_id == "b"
 
 
-def test_a_workspace_over_its_rate_hears_when_to_come_back():
+def test_workspace_over_its_rate_gets_the_time_to_retry():
     scheduler = PoolScheduler()
     scheduler.set_limits({"foresters": WorkspaceLimits(rate=2.0)}, NOW)
     scheduler.announce(upstream(), NOW)
@@ -171,11 +171,11 @@
     assert decisions[2].retry_after == 0.5
 
 
-def test_not_late_because_of_lower_tiers_that_wait():
-    """A short request of the top tier meets a long queue of the lowest one.
+def test_waiting_lower_tiers_do_not_make_a_request_too_late():
+    """A short request of the top tier arrives at a long queue of the lowest one.
 
-    The user would be refused as too late, although the request would be the
-    next to run. The cause would be an estimate that counts what it displaces.
+    It would be refused as too late although it is the next to run, if the estimate
+    counted the work that it displaces.
     """
     scheduler = PoolScheduler()
     scheduler.announce(upstream(slots=1), NOW)
@@ -188,11 +188,11 @@
     assert granted.request_id == "top"
 
 
-def test_a_request_registered_anew_is_granted_after_its_grant_lapsed():
-    """The link to an entry host breaks while a grant is on its way.
+def test_request_registered_again_is_granted_after_its_grant_expired():
+    """The connection to an entry host breaks while a grant is in transit.
 
-    The user would wait until the deadline, since the host never saw the grant
-    and the owner believes it is in use. The host registers the request anew.
+    The caller would wait until the deadline, since the host never received the grant
+    and the owner assumes it is in use. The host registers the request again.
     """
     scheduler = PoolScheduler()
     scheduler.announce(upstream(slots=1), NOW)
@@ -203,7 +203,7 @@
     assert isinstance(again, Granted)
 
 
-def test_a_late_message_of_use_counts_the_request_again():
+def test_late_report_of_use_counts_the_request_again():
     scheduler = PoolScheduler()
     scheduler.announce(upstream(slots=1), NOW)
     scheduler.register(request("a"), NOW)
@@ -213,10 +213,10 @@
     assert scheduler.register(request("b"), NOW + 2.2) == []
 
 
-def test_a_sick_upstream_pauses_and_is_taken_back_by_a_probe():
+def test_unhealthy_upstream_pauses_and_is_used_again_after_a_probe():
     """An upstream refuses connections while it still announces itself.
 
-    Without a pause each request would be sent there first and come back.
+    Without a pause each request would be sent there first and returned.
     """
     scheduler = PoolScheduler()
     scheduler.announce(upstream(slots=2), NOW)
@@ -230,7 +230,7 @@
     assert granted.request_id == "b"
 
 
-def test_a_prefix_draws_requests_until_its_upstream_is_busy():
+def test_requests_go_to_their_cached_prefix_until_its_upstream_is_busy():
     scheduler = PoolScheduler()
     for name in ("engine-1", "engine-2"):
         scheduler.announce(upstream(name, slots=2), NOW)
@@ -244,11 +244,11 @@
 
 
 def test_request_that_just_fits_goes_to_an_idle_engine():
-    """A caller is refused although the only engine has nothing to do.
+    """A caller is refused although the only engine is idle.
 
-    The engine needs 2.0 to 4.0 s for such work, and the caller leaves 3.2. With the
-    margin for a wrong estimate it seems late, without it not; waiting beside an
-    idle engine makes neither better, and it was shed at once.
+    The engine needs 2.0 to 4.0 s for such requests, and the caller allows 3.2 s. The
+    request is in time without the margin for a wrong estimate, but not with it. Waiting
+    for an idle engine changes neither, and the request was shed at once.
     """
     scheduler = PoolScheduler()
     for number in range(12):
@@ -269,11 +269,11 @@
     assert [type(found) for found in decisions] == [Granted]
 
 
-def test_first_refusals_of_a_tier_name_a_time_that_fits():
-    """Callers of silver are told to come back in a minute; it takes seconds.
+def test_first_refusals_of_a_tier_have_a_realistic_retry_time():
+    """Silver callers get a Retry-After of a minute although the queue takes seconds.
 
-    Gold requests came first and wait. No silver one has been granted yet, so the
-    rate at which that tier was granted work is nothing, and was taken for lasting.
+    Gold requests arrived first and wait. No silver request has been granted yet, so the
+    measured grant rate of that tier is zero, which was assumed to last.
     """
     scheduler = PoolScheduler()
     scheduler.announce(upstream(slots=2), NOW)
--- a/tests/components/dispatch/test_size_estimator.py
+++ b/tests/components/dispatch/test_size_estimator.py
@@ -1,4 +1,4 @@
-"""What a new owner expects of requests that state far more output than they get."""
+"""Estimates for requests that state far more output than they use."""
 
 from bitterntiller.components.dispatch.models import Granted
 from bitterntiller.components.dispatch.scheduler import PoolScheduler
@@ -7,7 +7,7 @@
 
 NOW = 1000.0
 STATED = 500
-"""At the first guess of the speed these tokens take longer than the 12 seconds."""
+"""By the initial speed estimate these tokens take longer than the deadline of 12 s."""
 
 
 def made() -> PoolScheduler:
@@ -21,19 +21,19 @@
     return scheduler.register(asked, now)
 
 
-def test_new_owner_refuses_nothing_for_the_most_that_may_come():
-    """Callers get 503 beside idle engines for some seconds after each change of owners.
+def test_new_owner_does_not_expect_all_of_the_stated_output():
+    """Callers get 503 for some seconds after each change of owners, with idle engines.
 
-    They state the most output they allow, or tokens of which a stream's event holds
-    several; the new owner has seen no answer yet, and expects all of it.
+    They state the maximum output that they allow, or tokens where an event of a stream
+    holds several. The new owner has seen no response yet and expects all of it.
     """
     scheduler = made()
     asked = [ask(scheduler, name, NOW)[0] for name in ("a", "b", "c")]
     assert [type(decision) for decision in asked] == [Granted] * 3
 
 
-def test_first_answers_tell_what_is_used_of_the_stated_output():
-    """The same lasts for dozens of answers, as each moves what is expected a little."""
+def test_first_responses_correct_the_expected_output():
+    """Refusals go on for dozens of responses if each moves the estimate only a little."""
     scheduler = made()
     for number in range(3):
         now = NOW + 0.6 * number
--- a/tests/components/dispatch/test_unchanged_upstreams.py
+++ b/tests/components/dispatch/test_unchanged_upstreams.py
@@ -1,4 +1,4 @@
-"""An owner whose upstreams have nothing new to say for a long time."""
+"""Owners whose upstreams don't change for a long time."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -29,8 +29,8 @@
 STEP = 0.25
 
 
-def let_pass(scheduler: PoolScheduler, seconds: float) -> float:
-    """Let time alone go by, as the owner's loop does; return the time after it."""
+def tick_for(scheduler: PoolScheduler, seconds: float) -> float:
+    """Advance the time with ticks only, as the owner's loop does; return the end."""
     now = NOW
     while now < NOW + seconds:
         now += STEP
@@ -39,7 +39,7 @@
 
 
 def granted(scheduler: PoolScheduler, name: str, now: float) -> list[str]:
-    """Return the upstreams to which a request is granted at its arrival."""
+    """Return the upstreams to which a new request is granted on arrival."""
     item = request(name, arrived=now, deadline=now + 5.0)
     decisions = scheduler.register(item, now)
     return [one.upstream for one in decisions if isinstance(one, Granted)]
@@ -47,24 +47,23 @@
 
 @pytest.mark.parametrize("kind", ["engine", "plain"])
 @pytest.mark.parametrize("seconds", [59.0, 61.0, HOUR])
-def test_upstream_that_has_nothing_new_to_say_is_given_work(kind, seconds):
-    """A minute after the last change of an upstream, idle ones get no work any more.
-
-    The list of upstreams is told to owners when it changes. For a minute none joins or
-    leaves; then each is dropped at the first moment at which nothing runs there, the
-    little used ones first, until all requests are refused beside idle upstreams.
-    The owner took the age of the last change for silence. What proved it: the last
-    grants before the loss told an announcement of over a minute, all that ran there had
-    ended well, and none was lost while a request ran there.
+def test_upstream_without_changes_gets_requests(kind, seconds):
+    """An idle upstream gets no requests a minute after its last change.
+
+    The list of upstreams is sent to owners only when it changes. The owner took the age
+    of the last change for silence and removed each upstream a minute later, as soon as
+    nothing ran there, until all requests were refused although upstreams were idle. The
+    cause showed in the log: the last grants had announcements older than a minute, all
+    their requests ended well, and no upstream was removed while a request ran there.
     """
     scheduler = PoolScheduler(REGISTERED_PARAMETERS._replace(kind=kind))
     scheduler.announce(upstream(), NOW)
-    now = let_pass(scheduler, seconds)
+    now = tick_for(scheduler, seconds)
     assert granted(scheduler, "after", now) == ["engine-1"]
 
 
-def test_busy_and_idle_upstreams_are_kept_alike():
-    """Only the upstream that always had something to do is left after a minute."""
+def test_idle_upstream_is_kept_like_a_busy_one():
+    """Only the upstream that is always busy is left after a minute."""
     scheduler = PoolScheduler(REGISTERED_PARAMETERS)
     scheduler.announce(upstream("idle", slots=1), NOW)
     scheduler.announce(upstream("busy", slots=1), NOW)
@@ -82,27 +81,27 @@
     assert sorted(both) == ["busy", "idle"]
 
 
-def test_upstream_that_has_left_is_forgotten_in_the_end():
-    """What has gone must not fill the owner's memory over a day of releases."""
+def test_upstream_that_left_is_removed_eventually():
+    """Upstreams that left must not fill the owner's memory over a day of releases."""
     scheduler = PoolScheduler(REGISTERED_PARAMETERS)
     scheduler.announce(upstream(), NOW)
     scheduler.announce(upstream(leaving=True, sequence=2), NOW)
-    let_pass(scheduler, 90.0)
+    tick_for(scheduler, 90.0)
     assert scheduler.describe(NOW + 90.0)["upstreams_by_name"] == {}
 
 
 class Registered:
-    """The list of upstreams as a host has it, unchanged since its first version."""
+    """The registered upstreams, unchanged since the first version of the list."""
 
     version = 1
     by_name: Mapping[str, Any] = {"e1": build.announce("e1", 4)}
 
 
 def test_owner_grants_after_an_hour_without_a_change_of_the_list():
-    """The owner's whole loop on a driven clock: an hour passes, then a request comes.
+    """The owner refuses a request after an hour without a change.
 
-    In service it shows as routes that nobody answers, since all their requests go to
-    upstreams that the owner knew and has dropped.
+    This runs the owner's whole loop on a manual clock. The fault shows as routes
+    without any response, since the owner has removed all their upstreams.
     """
     runtime = FakeRuntime()
 
--- a/tests/components/dispatch/test_upstream_restart.py
+++ b/tests/components/dispatch/test_upstream_restart.py
@@ -1,4 +1,4 @@
-"""An upstream that starts again under the name that it had."""
+"""Restart of an upstream under the same name."""
 
 from bitterntiller.components.dispatch.models import PolicyParameters
 from bitterntiller.components.dispatch.prefix import PrefixIndex
@@ -16,11 +16,11 @@
     return [decision.request_id for decision in decisions]
 
 
-def test_its_slots_are_free_at_once():
-    """Requests wait beside an idle upstream until their hosts notice a lost answer.
+def test_slots_are_free_at_once_after_a_restart():
+    """Requests wait although an upstream is idle after its restart.
 
-    It crashed and started again under its name. What it ran before still fills its
-    slots in the owner's book.
+    The upstream crashed and started again under its name. The requests that it ran
+    before count as in flight until their entry hosts notice the lost response.
     """
     scheduler = PoolScheduler()
     scheduler.announce(upstream(slots=1, sequence=50), NOW)
@@ -35,10 +35,10 @@
     assert scheduler.register(request("c"), NOW + 1.2) == []
 
 
-def test_what_it_held_and_how_slow_it_was_is_forgotten():
-    """A sound upstream gets little work for seconds, and work for what it lost.
+def test_speed_and_cached_prefixes_are_reset_by_a_restart():
+    """A restarted upstream gets little work for seconds, and the wrong requests.
 
-    It was slow before it crashed, and held prefixes; it is fast and empty now.
+    It was slow and held prefixes before the crash; now it is fast and its cache empty.
     """
     pool = PoolSpeed()
     known = Upstream(upstream(), PolicyParameters(), pool, PrefixIndex(), NOW)
