--- a/tests/components/dispatch/test_size_estimator.py
+++ b/tests/components/dispatch/test_size_estimator.py
@@ -33,7 +33,7 @@
 
 
 def test_first_responses_correct_the_expected_output():
-    """Refusals go on for dozens of responses if each moves the estimate only a little."""
+    """Refusals last for dozens of responses if each changes the estimate little."""
     scheduler = made()
     for number in range(3):
         now = NOW + 0.6 * number
