--- a/bitterntiller/components/entry/__init__.py
+++ b/bitterntiller/components/entry/__init__.py
@@ -8,7 +8,7 @@
 from bitterntiller.components.entry.coordinator import EntryCoordinator
 from bitterntiller.components.entry.diagnostics import describe
 from bitterntiller.components.entry.dialect import HttpDialect
-from bitterntiller.components.entry.owner_watch import OwnerWatch
+from bitterntiller.components.entry.owner_monitor import OwnerMonitor
 from bitterntiller.components.entry.quota import QuotaAccount
 from bitterntiller.components.entry.quota_client import QuotaClient
 from bitterntiller.components.entry.rate_limits import RateLimitCache
@@ -51,7 +51,7 @@
     context = _make_context(runtime, lease, config, directory, control)
     context = context._replace(crashes=crashes)
     coordinator = await _async_start(runtime, context, None)
-    await runtime.async_spawn(coordinator.async_tell_ended())
+    await runtime.async_spawn(coordinator.async_report_ended())
     return coordinator
 
 
@@ -69,7 +69,7 @@
         account, runtime.links, owners, runtime.clock, runtime.settings.host
     )
     connections = ConnectionPool(
-        runtime.clock, const.MOST_IDLE_CONNECTIONS, accept_close=True
+        runtime.clock, const.MAX_IDLE_CONNECTIONS, accept_close=True
     )
     runtime.stack.push_async_callback(connections.async_close)
     views = (session.lease, session.config, owners, session.control_client)
@@ -84,12 +84,12 @@
     )
     budget = _shared_budget(session, retries)
     coordinator = await _async_start(runtime, context, budget)
-    watch = OwnerWatch(
+    monitor = OwnerMonitor(
         runtime, owners, session.config, account, client, coordinator.registry
     )
-    coordinator.registry.add_listener(watch.async_look)
-    runtime.links.add_lost_listener(watch.async_link_lost)
-    await runtime.async_spawn(watch.async_run())
+    coordinator.registry.add_listener(monitor.async_wake)
+    runtime.links.add_lost_listener(monitor.async_link_lost)
+    await runtime.async_spawn(monitor.async_run())
     await runtime.async_spawn(coordinator.async_prune())
     return coordinator
 
@@ -121,9 +121,9 @@
     def most() -> float:
         hosts = session.directory.hosts_by_name.values()
         entries = sum(ROLE_ENTRY in host.roles for host in hosts)
-        return const.BUDGET_PART_BESIDES * retries.besides / max(1, entries)
+        return const.RETRY_BUDGET_BASE_FRACTION * retries.besides / max(1, entries)
 
-    return RetryBudget(const.BUDGET_PART * retries.per_request, most)
+    return RetryBudget(const.RETRY_BUDGET_FRACTION * retries.per_request, most)
 
 
 async def _async_start(
@@ -139,8 +139,8 @@
         (messages.Refusal, registry.async_on_refusal),
     ):
         runtime.stack.callback(runtime.links.handle(cls, handler))
-    await runtime.async_spawn(coordinator.async_follow())
-    await runtime.async_spawn(coordinator.async_report())
-    await runtime.async_spawn(coordinator.async_tell_live())
+    await runtime.async_spawn(coordinator.async_monitor_owners())
+    await runtime.async_spawn(coordinator.async_report_progress())
+    await runtime.async_spawn(coordinator.async_report_live())
     runtime.add_diagnostics("entry", lambda: describe(coordinator))
     return coordinator
--- a/bitterntiller/components/entry/admission_checks.py
+++ b/bitterntiller/components/entry/admission_checks.py
@@ -44,7 +44,7 @@
         if lease.valid():
             self._lease_seen_at = now
             return
-        due = now - self._lease_seen_at <= const.LEASE_WAIT_WITHIN
+        due = now - self._lease_seen_at <= const.LEASE_WAIT_WINDOW
         until = now + const.LEASE_WAIT if due else now
         while clock.now() < until and not lease.valid():
             await curio.sleep(const.LEASE_POLL)
@@ -55,7 +55,7 @@
             return retry_later(Reason.DRAINING)
         # Without a lease a newer configuration may be in force elsewhere.
         if not self._context.lease.valid():
-            spread = random.uniform(*const.NO_LEASE_SPREAD)
+            spread = random.uniform(*const.NO_LEASE_JITTER)
             return retry_later(Reason.NO_LEASE, spread * const.NO_LEASE_RETRY_AFTER)
         # A new deployment knows no workspace yet; 401 would tell callers that
         # their tokens are wrong, and they would not come back.
--- a/bitterntiller/components/entry/attempt.py
+++ b/bitterntiller/components/entry/attempt.py
@@ -10,7 +10,7 @@
 from bitterntiller.components.entry.dialect import ResponseClass
 from bitterntiller.components.entry.event_logging import log_response, log_sending
 from bitterntiller.components.entry.identify import revalidate
-from bitterntiller.components.entry.limit_reports import async_report_limit
+from bitterntiller.components.entry.limit_reports import async_report_rate_limit
 from bitterntiller.components.entry.models import (
     ActiveRequest,
     GrantReceived,
@@ -180,7 +180,7 @@
         now = self._context.clock.now()
         log_response(active, head.status, finding, now)
         if finding is not ResponseClass.FOREIGN:
-            await async_report_limit(self._context, active, grant, now)
+            await async_report_rate_limit(self._context, active, grant, now)
         if self._context.response_times is not None and finding is ResponseClass.ANSWER:
             self._context.response_times.note(active.pool, now - active.sent_at)
         if finding is ResponseClass.NOT_RUN:
@@ -289,7 +289,7 @@
         timeout = min(left, self._timings.upstream_first_byte)
         if self._can_repeat() and identified.route is not None:
             timeout = min(timeout, self._repeat_timeout(identified.route))
-        return max(const.LEAST_TIMEOUT, timeout)
+        return max(const.MIN_TIMEOUT, timeout)
 
     def _repeat_timeout(self, route: Route) -> float:
         """Return how long to wait for an answer that can be had elsewhere.
@@ -297,7 +297,10 @@
         Calls wait by what their service usually takes. A stream costs a prefill
         elsewhere, and its time depends on its prompt; it waits by its objective.
         """
-        longest = max(const.PATIENCE_OBJECTIVES * route.objective, const.LEAST_PATIENCE)
+        longest = max(
+            const.RESPONSE_TIMEOUT_OBJECTIVES * route.objective,
+            const.MIN_RESPONSE_TIMEOUT,
+        )
         times = self._context.response_times
         if route.streams or times is None:
             return longest
@@ -351,8 +354,8 @@
 async def _async_drain_response(client: ClientExchange) -> None:
     """Read the body of an answer that is not relayed, to keep its connection."""
     try:
-        await client.async_guard(const.REST_SILENCE)
-        for _ in range(const.REST_PARTS):
+        await client.async_guard(const.DRAIN_IDLE_TIMEOUT)
+        for _ in range(const.DRAIN_MAX_CHUNKS):
             if await client.async_data() is None:
                 return
     except BrokenAnswerError:
--- a/bitterntiller/components/entry/const.py
+++ b/bitterntiller/components/entry/const.py
@@ -44,8 +44,8 @@
 BYTES_PER_TOKEN = 4
 DEFAULT_OUTPUT_TOKENS = 256
 MAX_TOKENS = 10_000_000
-PREFIX_FIRST_BYTES = 256
-PREFIX_MOST = 12
+MIN_PREFIX_BYTES = 256
+MAX_PREFIXES = 12
 MAX_DEADLINE_MS = 24 * 3600 * 1000
 MAX_KEY_LENGTH = 255
 
@@ -56,26 +56,26 @@
 cut; larger ones are passed on as they come, so that few of them can't fill the memory.
 """
 
-LEAST_SILENCE = 1.0
+MIN_STREAM_IDLE_TIMEOUT = 1.0
 """Seconds of silence that a resumable stream is granted at least before it goes on
 elsewhere; a long prefill of another request stops an engine's output for about half."""
 
-PATIENCE_OBJECTIVES = 2.5
-LEAST_PATIENCE = 1.0
+RESPONSE_TIMEOUT_OBJECTIVES = 2.5
+MIN_RESPONSE_TIMEOUT = 1.0
 """How long a repeatable request waits for the head of an answer: in objectives of its
 route, and in seconds at least. Beyond it an answer is worth little, while another
 upstream can still serve the request before its caller gives up."""
 
-LEAST_TIMEOUT = 0.001
+MIN_TIMEOUT = 0.001
 """Seconds; a timeout of none at all would be read as already over."""
 
-REST_SILENCE = 0.2
-REST_PARTS = 8
+DRAIN_IDLE_TIMEOUT = 0.2
+DRAIN_MAX_CHUNKS = 8
 """Seconds and parts within which the body of an unused answer must end."""
 
 REPORT_PERIOD = 0.1
 BUSY_REPORT_PERIOD = 0.5
-QUIET_REPORT_PERIOD = 2.0
+IDLE_REPORT_PERIOD = 2.0
 """Seconds between reports to an owner: while a request has waited for it that long,
 while requests run here or there is something to tell, and else.
 
@@ -84,18 +84,18 @@
 """
 
 REPORT_TIMEOUT = 0.3
-SUSPECT_RETRY = 0.5
+SUSPECT_RETRY_PERIOD = 0.5
 """Seconds until an owner counts as lost, and until a lost one is asked again. A loss
 shows in 0.4 s to a request that waits, within the half second that grants may pause; an
 owner that stands still for 0.2 s, as at the cutting of a log, is not taken for lost.
 """
 
-MOST_IDLE_CONNECTIONS = 8
+MAX_IDLE_CONNECTIONS = 8
 PRUNE_PERIOD = 1.0
 """Idle connections kept to one upstream, and seconds between two looks for old ones."""
 
-BUDGET_PART = 0.8
-BUDGET_PART_BESIDES = 0.5
+RETRY_BUDGET_FRACTION = 0.8
+RETRY_BUDGET_BASE_FRACTION = 0.5
 """Parts of the deployment's budget of retries that its hosts use.
 
 The rest covers hosts that are started anew, whose budgets begin full.
@@ -119,7 +119,7 @@
 CANCEL_TIMEOUT = 2.0
 DEFAULT_RETRY_AFTER = 1.0
 NO_LEASE_RETRY_AFTER = 1.0
-NO_LEASE_SPREAD = (0.5, 2.0)
+NO_LEASE_JITTER = (0.5, 2.0)
 """Seconds, and the least and the most that they are multiplied by, so that callers who
 were refused together do not come back at one moment.
 
@@ -128,7 +128,7 @@
 """
 
 LEASE_WAIT = 0.35
-LEASE_WAIT_WITHIN = 3.0
+LEASE_WAIT_WINDOW = 3.0
 """Seconds that a request waits for a lease, and after the loss of the lease or the
 start of this host in which it does.
 
@@ -138,11 +138,11 @@
 
 LEASE_POLL = 0.02
 """Seconds between two looks at a lease that is waited for."""
-DRAINED_POLL = 0.05
-SETTLED_WAIT = 3.0
+DRAIN_POLL = 0.05
+SETTLE_WAIT = 3.0
 
 RETRIES_PER_REQUEST = 0.2
-MOST_RETRIES = 20.0
+MAX_RETRY_RESERVE = 20.0
 """The retries that an idle pool keeps in reserve."""
 
 METRIC_RETRIES = "entry.retries"
--- a/bitterntiller/components/entry/context.py
+++ b/bitterntiller/components/entry/context.py
@@ -24,11 +24,11 @@
     VersionsView,
 )
 
-UNKEPT = ConnectionPool(RuntimeClock())
+UNPOOLED_CONNECTIONS = ConnectionPool(RuntimeClock())
 """Opens a connection for each exchange and keeps none."""
 
 
-NO_CACHE = RateLimitCache(most=0)
+DISABLED_RATE_LIMIT_CACHE = RateLimitCache(most=0)
 """Keeps nothing, for a context without a part that hands limits over."""
 
 
@@ -81,10 +81,10 @@
     directory: DirectoryView
     control: ControlCalls
     dialect: HttpDialect = NativeDialect()
-    connections: ConnectionPool = UNKEPT
+    connections: ConnectionPool = UNPOOLED_CONNECTIONS
     quota: QuotaGate | None = None
     response_times: ResponseTimes | None = None
     upstreams: DepartingView | None = None
     crashes: CrashWatch | None = None
-    rate_limits: RateLimitCache = NO_CACHE
+    rate_limits: RateLimitCache = DISABLED_RATE_LIMIT_CACHE
     versions: VersionsView | None = None
--- a/bitterntiller/components/entry/coordinator.py
+++ b/bitterntiller/components/entry/coordinator.py
@@ -22,7 +22,7 @@
 from bitterntiller.core.interfaces import Ownership
 from bitterntiller.protocol import messages
 
-BODY_COMING = "one whose body is still coming"
+BODY_INCOMPLETE = "one whose body is still coming"
 
 
 class EntryCoordinator:
@@ -69,7 +69,7 @@
         """Say not to be ready from now on, and serve whoever still comes."""
         self.leaving = True
 
-    async def async_follow(self) -> None:
+    async def async_monitor_owners(self) -> None:
         """Follow owners and the lease, until cancelled."""
         began = curio.Event()
         self.registry.add_listener(began.set)
@@ -84,7 +84,7 @@
             async with curio.ignore_after(const.IDLE_OWNER_POLL):
                 await began.wait()
 
-    async def async_report(self) -> None:
+    async def async_report_progress(self) -> None:
         """Report the progress of running requests to their owners, until cancelled."""
         while True:
             await curio.sleep(const.PROGRESS_PERIOD)
@@ -102,7 +102,7 @@
             await curio.sleep(const.PRUNE_PERIOD)
             await self._context.connections.async_prune()
 
-    async def async_tell_live(self) -> None:
+    async def async_report_live(self) -> None:
         """Tell owners all that is live here every few seconds, until cancelled.
 
         The end of a request is told once; when that message is lost, this list
@@ -111,9 +111,9 @@
         while True:
             await curio.sleep(const.LIVE_PERIOD)
             for pool in list(self._owners_by_pool):
-                await self._async_tell_live(pool)
+                await self._async_report_live(pool)
 
-    async def _async_tell_live(self, pool: str) -> None:
+    async def _async_report_live(self, pool: str) -> None:
         owner = self._context.directory.owner(pool)
         if owner is None:
             return
@@ -124,7 +124,7 @@
         )
         await self._context.links.async_send(owner.address, message)
 
-    async def async_tell_ended(self) -> None:
+    async def async_report_ended(self) -> None:
         """Tell owners what has ended here of late, until cancelled.
 
         For owners that control names; those that the host chooses hear it by reports.
@@ -157,7 +157,7 @@
         """Return the ids of the live requests, and a text for each without one yet."""
         ids = list(self.registry.by_id)
         taken = sum(self.budget.requests_by_workspace().values())
-        return ids + [BODY_COMING] * max(0, taken - len(ids))
+        return ids + [BODY_INCOMPLETE] * max(0, taken - len(ids))
 
     async def async_drain(self) -> list[str]:
         """Take no new work and wait for what there is, up to the shutdown limit.
@@ -169,15 +169,15 @@
             # Requests whose body is still coming are in the budget only: without
             # them a host would stop in the middle of a caller's sending.
             while self.registry.by_id or self.budget.requests_by_workspace():
-                await curio.sleep(const.DRAINED_POLL)
-            await self._async_settled()
+                await curio.sleep(const.DRAIN_POLL)
+            await self._async_wait_for_settled_claims()
         return self.unfinished()
 
-    async def _async_settled(self) -> None:
+    async def _async_wait_for_settled_claims(self) -> None:
         """Let control hear for a moment how the last claims ended."""
-        async with curio.ignore_after(const.SETTLED_WAIT):
+        async with curio.ignore_after(const.SETTLE_WAIT):
             while self._claim_client.settling:
-                await curio.sleep(const.DRAINED_POLL)
+                await curio.sleep(const.DRAIN_POLL)
 
     async def _async_check_lease(self) -> None:
         valid = self._context.lease.valid()
--- a/bitterntiller/components/entry/estimate.py
+++ b/bitterntiller/components/entry/estimate.py
@@ -40,8 +40,8 @@
 def prefix_hashes(prompt: bytes) -> tuple[int, ...]:
     """Return the signed 64-bit xxh3 of prefixes of doubling length, shortest first."""
     hashes = []
-    length = const.PREFIX_FIRST_BYTES
-    while length <= len(prompt) and len(hashes) < const.PREFIX_MOST:
+    length = const.MIN_PREFIX_BYTES
+    while length <= len(prompt) and len(hashes) < const.MAX_PREFIXES:
         value = xxhash.xxh3_64_intdigest(prompt[:length])
         hashes.append(value - (1 << 64) if value >= 1 << 63 else value)
         length *= 2
--- a/bitterntiller/components/entry/limit_reports.py
+++ b/bitterntiller/components/entry/limit_reports.py
@@ -9,7 +9,7 @@
 from bitterntiller.core.interfaces import Ownership
 
 
-async def async_report_limit(
+async def async_report_rate_limit(
     context: Context, active: ActiveRequest, grant: GrantReceived, now: float
 ) -> None:
     """Tell the owners at once what an answer that began now names as a limit.
--- a/bitterntiller/components/entry/owner_watch.py
+++ b/bitterntiller/components/entry/owner_monitor.py
@@ -9,7 +9,7 @@
 from bitterntiller.components.entry.quota import QuotaAccount, UnacknowledgedUse
 from bitterntiller.components.entry.quota_client import QUOTA_POOL, QuotaClient
 from bitterntiller.components.entry.registry import RequestRegistry
-from bitterntiller.components.entry.report_schedule import report_due
+from bitterntiller.components.entry.report_schedule import next_report_at
 from bitterntiller.components.links.errors import LinkError
 from bitterntiller.components.node.owners import RendezvousOwners
 from bitterntiller.core import events
@@ -17,14 +17,14 @@
 from bitterntiller.core.runtime import Runtime
 from bitterntiller.protocol import messages
 
-NOTHING = UnacknowledgedUse([], {}, 0, [])
+NO_USAGE = UnacknowledgedUse([], {}, 0, [])
 
 FIRST_REPORT_PERIOD = 0.1
 """Seconds between reports to an owner that has not answered yet, and between two looks
 for an owner while there is none: a host that starts serves nothing before."""
 
 
-class OwnerWatch:
+class OwnerMonitor:
     """Reports to each owner in use and passes silent ones over.
 
     The report carries what workspaces have used; the answer what is left to them. An
@@ -50,7 +50,7 @@
         self._registry = registry
         self._numbers = itertools.count(1)
         self._reported_at_by_host: dict[str, float] = {}
-        self._under_way: set[str] = set()
+        self._reporting: set[str] = set()
         self._changed = curio.Event()
 
     async def async_run(self) -> None:
@@ -58,16 +58,16 @@
         while True:
             self._changed.clear()
             now = self._runtime.clock.now()
-            wake = now + const.QUIET_REPORT_PERIOD
+            wake = now + const.IDLE_REPORT_PERIOD
             owners = self._in_use()
             for owner in owners:
-                if owner.host in self._under_way:
+                if owner.host in self._reporting:
                     continue
-                due = self._due_at(owner)
+                due = self._next_report_at(owner)
                 if due > now:
                     wake = min(wake, due)
                     continue
-                self._under_way.add(owner.host)
+                self._reporting.add(owner.host)
                 self._reported_at_by_host[owner.host] = now
                 await curio.spawn(self._async_report, owner, daemon=True)
             if not owners:
@@ -75,7 +75,7 @@
             async with curio.ignore_after(wake - now):
                 await self._changed.wait()
 
-    async def async_look(self) -> None:
+    async def async_wake(self) -> None:
         """Look now at who is due: a request has begun to wait."""
         await self._changed.set()
 
@@ -94,14 +94,14 @@
                     break
         return list(found.values())
 
-    def _due_at(self, owner: Ownership) -> float:
+    def _next_report_at(self, owner: Ownership) -> float:
         reported_at = self._reported_at_by_host.get(owner.host, float("-inf"))
         if self._owners.is_suspect(owner.host):
-            return reported_at + const.SUSPECT_RETRY
+            return reported_at + const.SUSPECT_RETRY_PERIOD
         if not self._owners.incarnation(owner.host):
             return reported_at + FIRST_REPORT_PERIOD
         process = self._process(owner.host)
-        counts = self._counts(owner.host)
+        counts = self._is_counting_host(owner.host)
         live = self._registry.by_id
         now = self._runtime.clock.now()
         unacknowledged = bool(
@@ -110,38 +110,38 @@
         # The host that counts quotas counts for the part of the hosts that report to
         # it. One that has turned away must not be missed for long: both hosts would
         # let a whole quota through.
-        return report_due(
+        return next_report_at(
             owner.host,
             reported_at,
             live.values(),
             unacknowledged or counts,
-            counts and self._client.asking > 0,
+            counts and self._client.pending_calls > 0,
         )
 
     def _process(self, host: str) -> str:
         """Return the name of the process of an owner that has answered last."""
         return f"{host}/{self._owners.incarnation(host)}"
 
-    def _counts(self, host: str) -> bool:
+    def _is_counting_host(self, host: str) -> bool:
         """Tell whether a host counts quotas for this one."""
-        counter = self._owners.owner(QUOTA_POOL)
-        return counter is not None and counter.host == host
+        counting_host = self._owners.owner(QUOTA_POOL)
+        return counting_host is not None and counting_host.host == host
 
     async def _async_report(self, owner: Ownership) -> None:
         try:
-            await self._async_ask(owner)
+            await self._async_send_report(owner)
         finally:
-            self._under_way.discard(owner.host)
+            self._reporting.discard(owner.host)
             await self._changed.set()
 
-    async def _async_ask(self, owner: Ownership) -> None:
-        to_counter = self._counts(owner.host)
+    async def _async_send_report(self, owner: Ownership) -> None:
+        counting = self._is_counting_host(owner.host)
         process = self._process(owner.host)
-        told = self._account.unacknowledged(process) if to_counter else NOTHING
+        told = self._account.unacknowledged(process) if counting else NO_USAGE
         live = self._registry.by_id.keys()
         now = self._runtime.clock.now()
         ended = self._registry.ended_requests.unacknowledged(process, live, now)
-        report = self._report(told, ended, to_counter)
+        report = self._report(told, ended, counting)
         try:
             reply = await self._runtime.links.async_call(
                 owner.address, report, const.REPORT_TIMEOUT
@@ -153,15 +153,15 @@
             # Asked again in the next period: it may get its lease a moment after this
             # host, and passed over for longer it would share its pools with another.
             self._reported_at_by_host[owner.host] = (
-                now + const.REPORT_PERIOD - const.SUSPECT_RETRY
+                now + const.REPORT_PERIOD - const.SUSPECT_RETRY_PERIOD
             )
             self._suspect(owner, "it has no configuration or lease")
             return
         if process == f"{owner.host}/{reply.incarnation}":
             self._registry.ended_requests.note_acknowledged(process, ended)
-            if to_counter:
+            if counting:
                 self._account.note_acknowledged(process, told)
-                self._account.take_levels(reply.levels)
+                self._account.update_levels(reply.levels)
         if self._owners.record_answer(owner.host, reply.incarnation):
             # What it was told as another process is told anew at once.
             self._reported_at_by_host.pop(owner.host, None)
@@ -170,7 +170,7 @@
             )
 
     def _report(
-        self, told: UnacknowledgedUse, ended: UnacknowledgedEnds, to_counter: bool
+        self, told: UnacknowledgedUse, ended: UnacknowledgedEnds, counting: bool
     ) -> messages.EntryReport:
         return messages.EntryReport(
             entry_host=self._runtime.settings.host,
@@ -189,15 +189,15 @@
                 for workspace, amount in told.held_by_workspace.items()
             ],
             ended=ended.request_ids,
-            counting=to_counter,
+            counting=counting,
             settled=told.settled,
-            within_ms=int(1000 * self._longest_period(to_counter)),
+            within_ms=int(1000 * self._longest_period(counting)),
         )
 
-    def _longest_period(self, to_counter: bool) -> float:
-        if to_counter:
+    def _longest_period(self, counting: bool) -> float:
+        if counting:
             return const.BUSY_REPORT_PERIOD
-        return const.QUIET_REPORT_PERIOD
+        return const.IDLE_REPORT_PERIOD
 
     def _suspect(self, owner: Ownership, why: str) -> None:
         if self._owners.suspect(owner.host):
--- a/bitterntiller/components/entry/pipeline.py
+++ b/bitterntiller/components/entry/pipeline.py
@@ -127,7 +127,7 @@
             await self._async_refuse(exchange, over, identified, active.request_id)
             return
         await self._registry.async_add(active)
-        self.retries.earn(active.pool)
+        self.retries.record_request(active.pool)
         try:
             await self._async_run_watched(exchange, active)
         except CallerGoneError:
@@ -211,7 +211,7 @@
         return verdict
 
     def _may_repeat(self, active: ActiveRequest) -> bool:
-        room = self.retries.has_room(active.pool)
+        room = self.retries.has_retry_left(active.pool)
         return room and self._admission.has_quota_for_repeat(active)
 
     async def _async_reserve_repeat(self, active: ActiveRequest) -> bool:
--- a/bitterntiller/components/entry/quota.py
+++ b/bitterntiller/components/entry/quota.py
@@ -19,14 +19,14 @@
 from bitterntiller.core.acknowledged import AcknowledgedPositions
 from bitterntiller.core.clock import Clock
 
-TOLD_SLICES = 16
+REPORT_SLICES = 16
 """Parts of a window in which a ledger that is new to this host hears what was used in
 it; it counts each part as used at its end."""
 
-SETTLED_SECONDS = 60.0
+SETTLED_RESEND_SECONDS = 60.0
 """How long a settled reservation is told again; a counting host forgets older ones."""
 
-NUMBER_BITS = 62
+RESERVATION_NUMBER_BITS = 62
 """Reservations are numbered from a random number on, so that a host that was started
 anew never settles or uses one of before."""
 
@@ -43,7 +43,7 @@
     number: int
 
 
-class Used(NamedTuple):
+class UnreportedUsage(NamedTuple):
     """What was sent about age seconds ago, as one ledger has not heard it yet."""
 
     workspace: str
@@ -58,7 +58,7 @@
     that ledger; settled has its reservations that have ended.
     """
 
-    used: list[Used]
+    used: list[UnreportedUsage]
     held_by_workspace: dict[str, int]
     upto: int
     settled: list[int]
@@ -73,7 +73,7 @@
     at: float
 
 
-class _Sent(NamedTuple):
+class _SentUsage(NamedTuple):
     """One sending; change numbers it among all changes on this host."""
 
     change: int
@@ -81,7 +81,7 @@
     amount: int
 
 
-class _Settled(NamedTuple):
+class _SettledReservation(NamedTuple):
     """The end of a reservation; change numbers it among all changes on this host."""
 
     change: int
@@ -98,12 +98,12 @@
         self._window = window
         self._level_by_workspace: dict[str, QuotaLevel] = {}
         self._change = 0
-        self._number = random.getrandbits(NUMBER_BITS)
-        self._sent_by_workspace: dict[str, deque[_Sent]] = {}
-        self._settled: deque[_Settled] = deque()
+        self._number = random.getrandbits(RESERVATION_NUMBER_BITS)
+        self._sent_by_workspace: dict[str, deque[_SentUsage]] = {}
+        self._settled: deque[_SettledReservation] = deque()
         self._holds: set[QuotaHold] = set()
         self._asked_at_by_workspace: dict[str, float] = {}
-        self._told = AcknowledgedPositions()
+        self._acknowledged = AcknowledgedPositions()
 
     def number(self) -> int:
         """Return a number for a new reservation."""
@@ -131,7 +131,7 @@
         self._holds.add(hold)
         return hold
 
-    def give_up(self, ledger: str, number: int) -> None:
+    def abandon_reservation(self, ledger: str, number: int) -> None:
         """Settle a reservation that may have been made: its answer didn't come."""
         self._settle(ledger, number)
 
@@ -141,13 +141,13 @@
         level = self._level_by_workspace.get(workspace.name)
         if quota is None or level is None:
             return True
-        return level.left - amount >= -REPEAT_PART * self._most(quota)
+        return level.left - amount >= -REPEAT_PART * self._window_limit(quota)
 
     def level(self, workspace: str) -> QuotaLevel | None:
         """Return what was last heard of a workspace's quota."""
         return self._level_by_workspace.get(workspace)
 
-    def _most(self, quota: Quota) -> float:
+    def _window_limit(self, quota: Quota) -> float:
         """Return all that a quota allows in one window."""
         return self._window.limit(quota.rate, quota.burst)
 
@@ -165,13 +165,13 @@
             self.release(hold)
         self._change += 1
         sent = self._sent_by_workspace.setdefault(workspace.name, deque())
-        sent.append(_Sent(self._change, self._clock.now(), amount))
+        sent.append(_SentUsage(self._change, self._clock.now(), amount))
 
     def _settle(self, ledger: str, number: int) -> None:
         self._change += 1
         now = self._clock.now()
-        self._settled.append(_Settled(self._change, now, ledger, number))
-        while self._settled[0].at < now - SETTLED_SECONDS:
+        self._settled.append(_SettledReservation(self._change, now, ledger, number))
+        while self._settled[0].at < now - SETTLED_RESEND_SECONDS:
             self._settled.popleft()
 
     def unacknowledged(self, ledger: str) -> UnacknowledgedUse:
@@ -186,12 +186,12 @@
         asked for. A lost answer would otherwise leave the ledger with another belief of
         what this host may use.
         """
-        upto = self._told.upto(ledger)
+        upto = self._acknowledged.upto(ledger)
         now = self._clock.now()
         used = []
         for name in list(self._sent_by_workspace):
             self._expire(name)
-            used += self._slices(name, upto, now)
+            used += self._unreported_usage(name, upto, now)
         for name, level in list(self._level_by_workspace.items()):
             self._level_by_workspace[name] = level._replace(lent=0.0)
         settled = [
@@ -202,13 +202,13 @@
         return UnacknowledgedUse(used, self._held(ledger), self._change, settled)
 
     def _held(self, ledger: str) -> dict[str, int]:
-        held = dict.fromkeys(self._in_use(), 0)
+        held = dict.fromkeys(self._active_workspaces(), 0)
         for hold in self._holds:
             if hold.ledger != ledger:
                 held[hold.workspace] = held.get(hold.workspace, 0) + hold.amount
         return held
 
-    def _in_use(self) -> set[str]:
+    def _active_workspaces(self) -> set[str]:
         """Return the workspaces asked for in the last window; forget the others."""
         oldest = self._clock.now() - self._window.seconds
         asked = self._asked_at_by_workspace
@@ -217,8 +217,10 @@
             self._level_by_workspace.pop(name, None)
         return {*asked, *self._sent_by_workspace}
 
-    def _slices(self, name: str, upto: int, now: float) -> list[Used]:
-        seconds = self._window.seconds / TOLD_SLICES
+    def _unreported_usage(
+        self, name: str, upto: int, now: float
+    ) -> list[UnreportedUsage]:
+        seconds = self._window.seconds / REPORT_SLICES
         amount_by_slice: dict[int, int] = {}
         for item in reversed(self._sent_by_workspace.get(name, ())):
             if item.change <= upto:
@@ -226,7 +228,7 @@
             slice_ = int((now - item.at) / seconds)
             amount_by_slice[slice_] = amount_by_slice.get(slice_, 0) + item.amount
         return [
-            Used(name, amount, slice_ * seconds)
+            UnreportedUsage(name, amount, slice_ * seconds)
             for slice_, amount in amount_by_slice.items()
         ]
 
@@ -236,16 +238,16 @@
         An answer that is lost leaves it as it was: the use is told, and counted, once
         more, which refuses rather than exceeds the quota.
         """
-        self._told.note(ledger, told.upto)
+        self._acknowledged.note(ledger, told.upto)
 
-    def note_level(self, workspace: str, left: float, paced: float) -> None:
+    def update_level(self, workspace: str, left: float, paced: float) -> None:
         """Note what a ledger's answer tells of a quota."""
         known = self._level_by_workspace.get(workspace)
         lent = 0.0 if known is None else known.lent
         now = self._clock.now()
         self._level_by_workspace[workspace] = QuotaLevel(left, paced, lent, now)
 
-    def take_levels(self, levels: list[Any]) -> None:
+    def update_levels(self, levels: list[Any]) -> None:
         """Take the messages.QuotaLevel that answer a report."""
         now = self._clock.now()
         for item in levels:
--- a/bitterntiller/components/entry/quota_client.py
+++ b/bitterntiller/components/entry/quota_client.py
@@ -16,24 +16,24 @@
 QUOTA_POOL = "quotas of workspaces"
 """The name under which the host is chosen that counts quotas; not one of a service."""
 
-LINE_SECONDS = 0.2
+MAX_QUEUE_SECONDS = 0.2
 """The longest that a request waits for its workspace's quota. What waits longer only
 makes all behind it late: a workspace over its quota always has more in the line."""
 
-LINE_PART = 0.5
+QUEUE_FRACTION = 0.5
 """Part of what is left of a request's objective that it may spend in the line; the rest
 is for the upstream."""
 
-COMEBACK_PART = 1 / 3
+LATEST_RETRY_FRACTION = 1 / 3
 """Part of the time that a caller has left for which it waits before it returns; told of
 a later time it gives up."""
 
-ANSWER_SECONDS = 0.3
+REPLY_TIMEOUT = 0.3
 """Seconds without an answer, beyond the wait in the line, after which the counting host
 is asked again: as long as an owner is waited for before it counts as lost."""
 
-LOST_SECONDS = 1.0
-LOST_POLL = 0.05
+FAILOVER_SECONDS = 1.0
+FAILOVER_POLL = 0.05
 """How long another counting host is waited for when one is lost, and how often it is
 looked for. The loss shows within half a second."""
 
@@ -55,7 +55,7 @@
     retry_reserved: bool = False
 
 
-THROUGH = QuotaVerdict(None)
+ADMITTED = QuotaVerdict(None)
 """The verdict on a request whose workspace has no quota."""
 
 
@@ -76,7 +76,7 @@
     deadline: float
 
 
-class Counting(Protocol):
+class CountingHostView(Protocol):
     """Tells who counts quotas now."""
 
     def owner(self, pool: str) -> Ownership | None:
@@ -95,31 +95,31 @@
         self,
         account: QuotaAccount,
         links: Links,
-        counting: Counting,
+        counting_hosts: CountingHostView,
         clock: Clock,
         host: str,
     ) -> None:
         self._account = account
         self._links = links
-        self._counting = counting
+        self._counting_hosts = counting_hosts
         self._clock = clock
         self._host = host
-        self.asking = 0
+        self.pending_calls = 0
 
     async def async_hold(self, request: QuotaRequest) -> QuotaVerdict:
         """Hold what a request would use, or tell when to come back."""
         if request.workspace.quota is None:
-            return THROUGH
+            return ADMITTED
         hold = self._account.hold_lent(request.workspace, request.amount)
         if hold is not None:
-            return THROUGH._replace(hold=hold)
-        return await self._async_counted(request, repeat=False)
+            return ADMITTED._replace(hold=hold)
+        return await self._async_hold_at_counting_host(request, repeat=False)
 
     async def async_hold_repeat(self, request: QuotaRequest) -> QuotaVerdict:
         """Hold an amount for a request that has run already, if there is room."""
         if request.workspace.quota is None:
-            return THROUGH
-        return await self._async_counted(request, repeat=True)
+            return ADMITTED
+        return await self._async_hold_at_counting_host(request, repeat=True)
 
     def has_room_for_repeat(self, workspace: Workspace, amount: int) -> bool:
         """Tell whether async_hold_repeat would probably hold an amount now."""
@@ -133,14 +133,16 @@
         """Count a sending, for which its amount or nothing was held."""
         self._account.spend(workspace, amount, hold)
 
-    async def _async_counted(self, request: QuotaRequest, repeat: bool) -> QuotaVerdict:
+    async def _async_hold_at_counting_host(
+        self, request: QuotaRequest, repeat: bool
+    ) -> QuotaVerdict:
         """Ask until a host that counts has decided, for a bounded time.
 
         Nothing is let through uncounted while the counting host is lost: every host
         would let through for itself what is left to all of them.
         """
-        until = min(self._clock.now() + LOST_SECONDS, request.deadline)
-        self.asking += 1
+        until = min(self._clock.now() + FAILOVER_SECONDS, request.deadline)
+        self.pending_calls += 1
         try:
             while True:
                 verdict = await self._async_ask(request, repeat)
@@ -148,34 +150,34 @@
                     return verdict
                 if self._clock.now() >= until:
                     return QuotaVerdict(const.DEFAULT_RETRY_AFTER, counted=False)
-                await curio.sleep(LOST_POLL)
+                await curio.sleep(FAILOVER_POLL)
         finally:
-            self.asking -= 1
+            self.pending_calls -= 1
 
     async def _async_ask(
         self, request: QuotaRequest, repeat: bool
     ) -> QuotaVerdict | None:
         """Return the counting host's verdict, None when there is none to be had."""
-        counter = self._counting.owner(QUOTA_POOL)
-        if counter is None:
+        counting_host = self._counting_hosts.owner(QUOTA_POOL)
+        if counting_host is None:
             return None
         number = self._account.number()
-        patience = 0.0 if repeat else self._patience(request)
+        patience = 0.0 if repeat else self._max_queue_wait(request)
         message = self._message(request, number, patience, repeat)
         try:
             answer = await self._links.async_call(
-                counter.address, message, patience + ANSWER_SECONDS
+                counting_host.address, message, patience + REPLY_TIMEOUT
             )
         except LinkError:
-            known = self._counting.incarnation(counter.host)
-            self._account.give_up(f"{counter.host}/{known}", number)
+            known = self._counting_hosts.incarnation(counting_host.host)
+            self._account.abandon_reservation(f"{counting_host.host}/{known}", number)
             return None
         except BaseException:
             # The caller has left: what the answer would have reserved is not used.
-            known = self._counting.incarnation(counter.host)
-            self._account.give_up(f"{counter.host}/{known}", number)
+            known = self._counting_hosts.incarnation(counting_host.host)
+            self._account.abandon_reservation(f"{counting_host.host}/{known}", number)
             raise
-        ledger = f"{counter.host}/{answer.incarnation}"
+        ledger = f"{counting_host.host}/{answer.incarnation}"
         return self._verdict(request, answer, ledger, number)
 
     def _verdict(
@@ -188,7 +190,7 @@
         if answer.status not in (QUOTA_RESERVED, QUOTA_REFUSED):
             return None
         workspace = request.workspace
-        self._account.note_level(workspace.name, answer.left, answer.paced)
+        self._account.update_level(workspace.name, answer.left, answer.paced)
         verdict = QuotaVerdict(
             None,
             None,
@@ -203,11 +205,11 @@
         hold = self._account.hold_reserved(workspace, request.amount, ledger, number)
         return verdict._replace(hold=hold)
 
-    def _patience(self, request: QuotaRequest) -> float:
+    def _max_queue_wait(self, request: QuotaRequest) -> float:
         if request.first_by is None:
-            return LINE_SECONDS
-        left = LINE_PART * (request.first_by - self._clock.now())
-        return min(LINE_SECONDS, max(0.0, left))
+            return MAX_QUEUE_SECONDS
+        left = QUEUE_FRACTION * (request.first_by - self._clock.now())
+        return min(MAX_QUEUE_SECONDS, max(0.0, left))
 
     def _message(
         self, request: QuotaRequest, number: int, patience: float, repeat: bool
@@ -219,7 +221,7 @@
             amount=request.amount,
             entry_host=self._host,
             patience_ms=int(patience * 1000),
-            latest_retry_ms=int(COMEBACK_PART * left * 1000),
+            latest_retry_ms=int(LATEST_RETRY_FRACTION * left * 1000),
             retry_fingerprint=request.retry_fingerprint,
             repeat=repeat,
             reservation=number,
--- a/bitterntiller/components/entry/registration.py
+++ b/bitterntiller/components/entry/registration.py
@@ -33,18 +33,18 @@
         now = context.clock.now()
         if now >= deadline:
             await async_cancel_registration(active, context)
-            return _not_run(Reason.TOO_LATE, const.DEFAULT_RETRY_AFTER)
+            return _refused_not_run(Reason.TOO_LATE, const.DEFAULT_RETRY_AFTER)
         if active.owner is None and now - begun > const.OWNER_WAIT:
-            return _not_run(Reason.NO_OWNER, const.DEFAULT_RETRY_AFTER)
+            return _refused_not_run(Reason.NO_OWNER, const.DEFAULT_RETRY_AFTER)
         await _async_register(active, context, now)
-        event = await _async_event(active, min(deadline - now, _patience(active)))
+        event = await _async_event(active, min(deadline - now, _event_timeout(active)))
         if isinstance(event, GrantReceived):
             return event
         if isinstance(event, RefusalReceived):
             return _refused(event)
         if isinstance(event, LeaseLost):
             await async_cancel_registration(active, context)
-            return _not_run(Reason.NO_LEASE, const.DEFAULT_RETRY_AFTER)
+            return _refused_not_run(Reason.NO_LEASE, const.DEFAULT_RETRY_AFTER)
 
 
 async def async_cancel_registration(active: ActiveRequest, context: Context) -> None:
@@ -55,7 +55,7 @@
     await context.links.async_send(active.owner.address, message)
 
 
-def _patience(active: ActiveRequest) -> float:
+def _event_timeout(active: ActiveRequest) -> float:
     if active.owner is None:
         return const.OWNER_POLL
     return const.REREGISTER_AFTER
@@ -89,9 +89,9 @@
 
 def _refused(event: RefusalReceived) -> Ending:
     reason = _REASONS.get(event.reason, Reason.SHED)
-    return _not_run(reason, event.retry_after)
+    return _refused_not_run(reason, event.retry_after)
 
 
-def _not_run(reason: Reason, retry_after: float) -> Ending:
+def _refused_not_run(reason: Reason, retry_after: float) -> Ending:
     status = _STATUS_BY_REASON.get(reason, UNAVAILABLE)
     return Ending(Outcome.NOT_RUN, reason, status, retry_after=retry_after)
--- a/bitterntiller/components/entry/registry.py
+++ b/bitterntiller/components/entry/registry.py
@@ -16,7 +16,7 @@
 from bitterntiller.core.interfaces import Ownership
 from bitterntiller.protocol import messages
 
-RETURN_UNWANTED = "expired"
+RETURN_EXPIRED = "expired"
 
 
 class OwnerChanged(NamedTuple):
@@ -80,7 +80,7 @@
             # return the owner would count the slot as used until it lapses.
             self._context.metrics.count(const.METRIC_STALE_GRANTS)
             await self.async_return_grant(
-                message.request_id, grant, RETURN_UNWANTED, False
+                message.request_id, grant, RETURN_EXPIRED, False
             )
             return
         if owner is not None and message.epoch < owner.epoch:
@@ -88,7 +88,7 @@
             # pool; work under its grants would come on top of the new owner's.
             self._context.metrics.count(const.METRIC_STALE_GRANTS)
             await self.async_return_grant(
-                message.request_id, grant, RETURN_UNWANTED, False
+                message.request_id, grant, RETURN_EXPIRED, False
             )
             return
         await active.mailbox.put(grant)
--- a/bitterntiller/components/entry/relay.py
+++ b/bitterntiller/components/entry/relay.py
@@ -77,7 +77,7 @@
         route = self._active.route
         if route is None or not self._active.repeatable or not route.pause:
             return self._idle
-        return min(self._idle, max(const.LEAST_SILENCE, 2 * route.pause))
+        return min(self._idle, max(const.MIN_STREAM_IDLE_TIMEOUT, 2 * route.pause))
 
     def _resumable(self) -> bool:
         stream = self._active.stream
--- a/bitterntiller/components/entry/request_parsing.py
+++ b/bitterntiller/components/entry/request_parsing.py
@@ -16,16 +16,18 @@
     deadline_text = header(headers, const.HEADER_DEADLINE)
     deadline_ms = None
     if deadline_text is not None:
-        deadline_ms = _whole_number(deadline_text)
+        deadline_ms = _parse_milliseconds(deadline_text)
         if deadline_ms is None:
-            return _bad("X-Deadline-Ms is not a whole number of milliseconds")
+            return _bad_request("X-Deadline-Ms is not a whole number of milliseconds")
     key = header(headers, const.HEADER_IDEMPOTENCY_KEY) or ""
     if len(key) > const.MAX_KEY_LENGTH:
-        return _bad(f"Idempotency-Key is over {const.MAX_KEY_LENGTH} characters")
+        return _bad_request(
+            f"Idempotency-Key is over {const.MAX_KEY_LENGTH} characters"
+        )
     return ReceivedRequest(
         request_id=uuid.uuid4().hex,
         head=head,
-        token=_bearer(header(headers, const.HEADER_AUTHORIZATION) or ""),
+        token=_bearer_token(header(headers, const.HEADER_AUTHORIZATION) or ""),
         idempotency_key=key,
         deadline_ms=deadline_ms,
         tier=header(headers, const.HEADER_TIER) or "",
@@ -33,17 +35,17 @@
     )
 
 
-def _bearer(value: str) -> str:
+def _bearer_token(value: str) -> str:
     if not value.lower().startswith(_BEARER):
         return ""
     return value[len(_BEARER) :].strip()
 
 
-def _whole_number(text: str) -> int | None:
+def _parse_milliseconds(text: str) -> int | None:
     if not (text.isascii() and text.isdigit() and len(text) < 12):
         return None
     return min(int(text), const.MAX_DEADLINE_MS)
 
 
-def _bad(detail: str) -> Ending:
+def _bad_request(detail: str) -> Ending:
     return Ending(Outcome.NOT_RUN, Reason.BAD_REQUEST, 400, detail=detail)
--- a/bitterntiller/components/entry/retry_budget.py
+++ b/bitterntiller/components/entry/retry_budget.py
@@ -17,18 +17,18 @@
     def __init__(
         self,
         per_request: float = const.RETRIES_PER_REQUEST,
-        most: Callable[[], float] = lambda: const.MOST_RETRIES,
+        max_retries: Callable[[], float] = lambda: const.MAX_RETRY_RESERVE,
     ) -> None:
         self._per_request = per_request
-        self._most = most
+        self._max_retries = max_retries
         self._earned_by_pool: dict[str, float] = {}
 
-    def earn(self, pool: str) -> None:
+    def record_request(self, pool: str) -> None:
         """Note a request that was sent for the first time."""
         earned = self._earned(pool) + self._per_request
-        self._earned_by_pool[pool] = min(earned, self._most())
+        self._earned_by_pool[pool] = min(earned, self._max_retries())
 
-    def has_room(self, pool: str) -> bool:
+    def has_retry_left(self, pool: str) -> bool:
         """Tell whether a retry is left."""
         return self._earned(pool) >= 1.0
 
@@ -45,4 +45,4 @@
         return {pool: int(earned) for pool, earned in self._earned_by_pool.items()}
 
     def _earned(self, pool: str) -> float:
-        return self._earned_by_pool.get(pool, self._most())
+        return self._earned_by_pool.get(pool, self._max_retries())
--- a/bitterntiller/components/entry/routing.py
+++ b/bitterntiller/components/entry/routing.py
@@ -14,7 +14,7 @@
 from bitterntiller.components.entry.models import IdentifiedRequest, ReceivedRequest
 from bitterntiller.core.outcomes import Ending, Outcome, Reason
 
-NOBODY = Workspace("", (), "", (), Selector(), {})
+ANONYMOUS_WORKSPACE = Workspace("", (), "", (), Selector(), {})
 """The workspace of requests that need no token."""
 
 
@@ -25,7 +25,7 @@
     route = find_route(received.host, received.head.path, config)
     if route is None:
         return _refusal(Reason.NO_SUCH_SERVICE, 404, "no route matches")
-    workspace = NOBODY
+    workspace = ANONYMOUS_WORKSPACE
     if config.workspaces_by_name and not route.public:
         found = find_workspace_by_token(received.token, config)
         if found is None:
--- a/tests/components/dispatch/test_idle_cost.py
+++ b/tests/components/dispatch/test_idle_cost.py
@@ -8,7 +8,7 @@
 from bitterntiller.components.dispatch.coordinator import DispatchCoordinator
 from bitterntiller.components.dispatch.reports import ReportReceiver
 from bitterntiller.components.entry import const
-from bitterntiller.components.entry.report_schedule import report_due
+from bitterntiller.components.entry.report_schedule import next_report_at
 from bitterntiller.core.clock import RuntimeClock
 from bitterntiller.protocol import messages
 from tests.components.dispatch import messages_builders as build
@@ -106,7 +106,9 @@
 
 def reports_a_second() -> float:
     """Return how many reports per second an idle entry host sends to an owner."""
-    return 1 / report_due("core-1", 0.0, [], pending=False, asking=False)
+    return 1 / next_report_at(
+        "core-1", 0.0, [], unacknowledged=False, quota_pending=False
+    )
 
 
 def test_idle_hosts_cost_an_owner_little():
@@ -125,7 +127,7 @@
             ended=[],
             counting=False,
             settled=[],
-            within_ms=int(const.QUIET_REPORT_PERIOD * 1000),
+            within_ms=int(const.IDLE_REPORT_PERIOD * 1000),
         )
         for number in range(HOSTS)
     ]
--- a/tests/components/entry/quota_hosts.py
+++ b/tests/components/entry/quota_hosts.py
@@ -150,7 +150,7 @@
             str(host), list(told.held_by_workspace), hosts, self.basis(name), now
         )
         account.note_acknowledged(name, told)
-        account.take_levels([_level(*item) for item in lent.items()])
+        account.update_levels([_level(*item) for item in lent.items()])
 
     def forget(self, host: int) -> None:
         """Have the counting host take a host for lost."""
--- a/tests/components/entry/test_admission_checks.py
+++ b/tests/components/entry/test_admission_checks.py
@@ -55,7 +55,7 @@
         ending = made.check_ready(draining=False)
         assert ending.reason is Reason.NO_LEASE
         after = ending.retry_after / const.NO_LEASE_RETRY_AFTER
-        least, most = const.NO_LEASE_SPREAD
+        least, most = const.NO_LEASE_JITTER
         assert least <= after <= most
 
     curio.run(run)
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("seconds", [0.01, 0.1])
 def test_nobody_waits_long_after_the_lease_was_lost(monkeypatch, seconds):
-    monkeypatch.setattr(const, "LEASE_WAIT_WITHIN", seconds)
+    monkeypatch.setattr(const, "LEASE_WAIT_WINDOW", seconds)
 
     async def run():
         made, lease = entrance(held=True)
--- a/tests/components/entry/test_ended_requests.py
+++ b/tests/components/entry/test_ended_requests.py
@@ -86,7 +86,7 @@
 
     async def async_main() -> list[Any]:
         async with deployment.entry_host(deployment.async_whole) as host:
-            tell = await curio.spawn(host.coordinator.async_tell_ended)
+            tell = await curio.spawn(host.coordinator.async_report_ended)
             sock = await curio.open_connection("127.0.0.1", host.port)
             async with sock:
                 await sock.sendall(deployment.HEAD.encode() + BODY)
--- a/tests/components/entry/test_quota.py
+++ b/tests/components/entry/test_quota.py
@@ -231,7 +231,7 @@
         shared.counter.decide(ask, QuotaContext(CONFIG, 1.0), shared.clock.now())
         is not None
     )
-    account.give_up(COUNTER, number)
+    account.abandon_reservation(COUNTER, number)
     shared.report([0])
     assert shared.state().remaining == LIMIT
 
--- a/tests/components/entry/test_quota_client.py
+++ b/tests/components/entry/test_quota_client.py
@@ -141,7 +141,7 @@
 
     Each entry host lets through for itself what is left to all of them.
     """
-    monkeypatch.setattr(quota_client, "LOST_SECONDS", 0.2)
+    monkeypatch.setattr(quota_client, "FAILOVER_SECONDS", 0.2)
 
     async def main(deployment: Deployment) -> None:
         deployment.counting.name = None
@@ -186,8 +186,8 @@
 
     The counting host had reserved; the host asks again, and knows nothing of it.
     """
-    monkeypatch.setattr(quota_client, "LOST_SECONDS", 0.1)
-    monkeypatch.setattr(quota_client, "ANSWER_SECONDS", 0.05)
+    monkeypatch.setattr(quota_client, "FAILOVER_SECONDS", 0.1)
+    monkeypatch.setattr(quota_client, "REPLY_TIMEOUT", 0.05)
 
     async def main(deployment: Deployment) -> None:
         deployment.links.deaf.add(FIRST)
--- a/tests/components/entry/test_retry_budget.py
+++ b/tests/components/entry/test_retry_budget.py
@@ -14,10 +14,10 @@
     budget = RetryBudget()
     granted = 0
     for _ in range(1000):
-        budget.earn("registry")
+        budget.record_request("registry")
         for _ in range(5):
             granted += budget.spend("registry")
-    assert granted <= 1000 * const.RETRIES_PER_REQUEST + const.MOST_RETRIES
+    assert granted <= 1000 * const.RETRIES_PER_REQUEST + const.MAX_RETRY_RESERVE
     assert granted >= 1000 * const.RETRIES_PER_REQUEST
 
 
@@ -45,4 +45,4 @@
     assert b"x-outcome: not-run" in answer.lower()
     assert b"not-admitted" in answer
     sent = [item for item in entry.requests if item.startswith(b"POST")]
-    assert len(sent) == const.MOST_RETRIES + 1
+    assert len(sent) == const.MAX_RETRY_RESERVE + 1
