--- a/bitterntiller/components/dispatch/const.py
+++ b/bitterntiller/components/dispatch/const.py
@@ -39,15 +39,28 @@
 HOUSEKEEPING_SECONDS = 0.25
 IDLE_WAKE_SECONDS = 1.0
 PARK_SECONDS = 0.25
+"""Maximum time for which a request is parked, and minimum time between two checks of a
+waiting request."""
+
 FORGET_UPSTREAM_SECONDS = 60.0
 """How long the state of an unusable upstream is kept: longer than a network cut or a
 restart of its process takes, after which its speed would have to be learned again."""
 
 MAX_RETURNS = 3
+"""Number of returned grants after which a request that every upstream returned is
+refused."""
+
 MAX_TRIMMED = 64
+"""Maximum number of requests that one housekeeping sheds."""
+
 MAX_SKIPS = 8
+"""Maximum number of requests that one run of the grant loop parks."""
+
 SCAN_ALL_UP_TO = 12
+"""Pool size up to which all upstreams are candidates for a request."""
+
 PREFIX_CANDIDATES = 4
+"""Number of holders of the longest prefix that are candidates in a larger pool."""
 
 PRIOR_PREFILL_TOKENS_PER_SECOND = 4000.0
 PRIOR_SECONDS_PER_TOKEN = 0.02
--- a/bitterntiller/components/dispatch/queue.py
+++ b/bitterntiller/components/dispatch/queue.py
@@ -57,7 +57,8 @@
 class Group:
     """Flows of requests that can use the same upstreams.
 
-    heap orders the flows by the virtual time of their workspace.
+    key is the group_key of its jobs; the first item of it is the set of the allowed
+    upstream names, or None. heap orders the flows by virtual time of their workspace.
     """
 
     __slots__ = ("flows_by_workspace", "heap", "key", "work")
--- a/bitterntiller/components/dispatch/scheduler.py
+++ b/bitterntiller/components/dispatch/scheduler.py
@@ -63,7 +63,7 @@
 
     The calls for a request are register, which leads to a grant, then started, progress
     and finished. Each call updates the requests and upstreams that it concerns and then
-    runs Granting, which grants requests while an upstream is free.
+    runs GrantLoop, which grants requests while an upstream is free.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
             self._pool, self._queue, self._limiter, rng, parameters.lower_share
         )
         self._shedder = Shedder(parameters, self._queue, self._wait_estimator)
-        self._housekeeping_at = 0.0
+        self._next_housekeeping_at = 0.0
         self._blocked: set[tuple] = set()
         self._jobs = JobLifecycle(
             parameters,
@@ -103,7 +103,7 @@
             self._limiter,
             self._wait_deadlines,
         )
-        self._granting = GrantLoop(
+        self._grant_loop = GrantLoop(
             self._pool,
             self._queue,
             self._jobs,
@@ -129,7 +129,7 @@
         decisions: list[Decision] = []
         for request in sorted(requests, key=_lowest_tier_first):
             self._admit(request, now, decisions)
-        self._granting.decide(now, decisions)
+        self._grant_loop.decide(now, decisions)
         return decisions
 
     def _admit(
@@ -171,7 +171,7 @@
             return []
         decisions: list[Decision] = []
         self._jobs.withdraw(job, now)
-        self._granting.decide(now, decisions)
+        self._grant_loop.decide(now, decisions)
         return decisions
 
     def started(self, request_id: str, now: float) -> list[Decision]:
@@ -199,7 +199,7 @@
         self._jobs.withdraw(job, now)
         if waiting:
             self._requeue(job, now, decisions)
-        self._granting.decide(now, decisions)
+        self._grant_loop.decide(now, decisions)
         return decisions
 
     def progress(
@@ -220,7 +220,7 @@
         decisions: list[Decision] = []
         self._pool.refresh(job.upstream, now)
         if self._pool.freed:
-            self._granting.decide(now, decisions)
+            self._grant_loop.decide(now, decisions)
         return decisions
 
     def finished(self, completion: Completion, now: float) -> list[Decision]:
@@ -231,7 +231,7 @@
         decisions: list[Decision] = []
         self._estimator.finished(job, completion, now)
         self._jobs.withdraw(job, now)
-        self._granting.decide(now, decisions)
+        self._grant_loop.decide(now, decisions)
         return decisions
 
     def adopt_running(
@@ -257,7 +257,7 @@
         """Apply an announcement; return False if it is older than the known state."""
         decisions: list[Decision] = []
         accepted = self._pool.announce(state, now)
-        self._granting.decide(now, decisions)
+        self._grant_loop.decide(now, decisions)
         return accepted, decisions
 
     def update_rate_limit(self, update: RateLimitUpdate, now: float) -> list[Decision]:
@@ -265,7 +265,7 @@
         decisions: list[Decision] = []
         self._pool.update_rate_limit(update, now)
         if self._pool.freed:
-            self._granting.decide(now, decisions)
+            self._grant_loop.decide(now, decisions)
         return decisions
 
     def set_versions(
@@ -276,14 +276,14 @@
         self._picker.canaries.allowance = allowance
         self._pool.set_versions(rules, now)
         self._blocked.clear()
-        self._granting.decide(now, decisions)
+        self._grant_loop.decide(now, decisions)
         return decisions
 
     def review(self, fingerprints: frozenset[int], now: float) -> list[Decision]:
         """Reconsider waiting requests whose crash history has changed.
 
-        Requests that are quarantined now are refused; the others move to the group that
-        fits their number of crashes.
+        Requests that are quarantined now are refused. The others are regrouped, since
+        suspects wait in groups of their own.
         """
         decisions: list[Decision] = []
         for job in list(self._jobs.by_id.values()):
@@ -295,7 +295,7 @@
                 decisions.append(self._refusals.quarantined(job, quarantined_for, now))
                 continue
             self._jobs.regroup(job, lambda job=job: self._set_group_key(job, now))
-        self._granting.decide(now, decisions)
+        self._grant_loop.decide(now, decisions)
         return decisions
 
     def set_limits(
@@ -305,7 +305,7 @@
         decisions: list[Decision] = []
         self._limiter.set_limits(limits_by_workspace)
         self._queue.uncap_all()
-        self._granting.decide(now, decisions)
+        self._grant_loop.decide(now, decisions)
         return decisions
 
     def tick(self, now: float) -> list[Decision]:
@@ -319,14 +319,14 @@
         for job in self._wait_deadlines.due_checks(now):
             self._refuse_if_too_late(job, now, decisions)
         self._pool.refresh_due(now)
-        if now >= self._housekeeping_at:
+        if now >= self._next_housekeeping_at:
             self._housekeep(now, decisions)
-        self._granting.decide(now, decisions)
+        self._grant_loop.decide(now, decisions)
         return decisions
 
     def next_wake(self, now: float) -> float:
         """Return the time at which tick() is due if no other call comes first."""
-        housekeeping = self._housekeeping_at
+        housekeeping = self._next_housekeeping_at
         if not self._jobs.by_id:
             housekeeping = max(housekeeping, now + IDLE_WAKE_SECONDS)
         return min(
@@ -416,7 +416,7 @@
         self._wait_deadlines.schedule_check(job, now)
 
     def _housekeep(self, now: float, decisions: list[Decision]) -> None:
-        self._housekeeping_at = now + HOUSEKEEPING_SECONDS
+        self._next_housekeeping_at = now + HOUSEKEEPING_SECONDS
         self._pool.housekeep(now)
         for timers in (
             self._wait_deadlines,
--- a/bitterntiller/components/dispatch/size_estimator.py
+++ b/bitterntiller/components/dispatch/size_estimator.py
@@ -28,7 +28,7 @@
 would refuse requests as too late that idle upstreams would serve in time."""
 
 WORKSPACE_PRIOR_ANSWERS = 3
-"""Weight, in responses, of the pool's mean in a workspace's own mean."""
+"""Number of responses that the pool's mean counts for in the mean of a workspace."""
 
 MEAN_GAIN = 0.01
 
--- a/bitterntiller/components/dispatch/wait_deadlines.py
+++ b/bitterntiller/components/dispatch/wait_deadlines.py
@@ -26,7 +26,7 @@
     def __init__(
         self, parameters: PolicyParameters, pool: Pool, picker: UpstreamPicker
     ) -> None:
-        self._no_upstream = parameters.no_upstream_seconds
+        self._no_upstream_seconds = parameters.no_upstream_seconds
         self._pool = pool
         self._picker = picker
         self._checks = JobTimers()
@@ -37,7 +37,7 @@
         """Schedule a check for when a request may be too late or without upstreams."""
         when = self._latest_start(job, now)
         if not self._pool.view(job).members:
-            when = min(when, job.received_at + self._no_upstream)
+            when = min(when, job.received_at + self._no_upstream_seconds)
         pause = PARK_SECONDS if job.request.start_by is None else START_CHECK_SECONDS
         self._checks.add(max(when, now + pause), job)
 
@@ -97,7 +97,7 @@
 
     def no_upstream_for_too_long(self, job: Job, now: float) -> bool:
         """Return whether a request has waited too long without any usable upstream."""
-        waited_out = now >= job.received_at + self._no_upstream
+        waited_out = now >= job.received_at + self._no_upstream_seconds
         return waited_out and not self._pool.view(job).members
 
     def _latest_start(self, job: Job, now: float) -> float:
--- a/tests/components/dispatch/test_queue.py
+++ b/tests/components/dispatch/test_queue.py
@@ -32,9 +32,9 @@
 
 
 def job(number, workspace, work=1.0):
-    made = Job(request(f"r{number}", workspace=workspace), number, 0.0)
-    made.work = work
-    return made
+    created = Job(request(f"r{number}", workspace=workspace), number, 0.0)
+    created.work = work
+    return created
 
 
 def test_large_workspace_does_not_delay_a_small_one():
--- a/tests/components/dispatch/test_rollouts.py
+++ b/tests/components/dispatch/test_rollouts.py
@@ -19,14 +19,14 @@
 
 
 def pool(rules: VersionRules = JUDGED, old: int = 2, new: int = 6) -> OwnedPool:
-    made = OwnedPool(build.POOL, 1, make_registered_scheduler("engine"), T0)
-    made.configure(build.config(), T0)
+    owned = OwnedPool(build.POOL, 1, make_registered_scheduler("engine"), T0)
+    owned.configure(build.config(), T0)
     for number in range(old):
-        made.announce(build.announce(f"old{number}", 4, version="v1"), T0)
+        owned.announce(build.announce(f"old{number}", 4, version="v1"), T0)
     for number in range(new):
-        made.announce(build.announce(f"new{number}", 4, version="v2"), T0)
-    made.set_versions(rules, T0)
-    return made
+        owned.announce(build.announce(f"new{number}", 4, version="v2"), T0)
+    owned.set_versions(rules, T0)
+    return owned
 
 
 def upstreams_of(decisions: list[Any]) -> list[str]:
--- a/tests/components/dispatch/test_size_estimator.py
+++ b/tests/components/dispatch/test_size_estimator.py
@@ -10,7 +10,7 @@
 """By the initial speed estimate these tokens take longer than the deadline of 12 s."""
 
 
-def made() -> PoolScheduler:
+def new_scheduler() -> PoolScheduler:
     scheduler = PoolScheduler()
     scheduler.announce(upstream(slots=16), NOW)
     return scheduler
@@ -27,14 +27,14 @@
     They state the maximum output that they allow, or tokens where an event of a stream
     holds several. The new owner has seen no response yet and expects all of it.
     """
-    scheduler = made()
+    scheduler = new_scheduler()
     asked = [ask(scheduler, name, NOW)[0] for name in ("a", "b", "c")]
     assert [type(decision) for decision in asked] == [Granted] * 3
 
 
 def test_first_responses_correct_the_expected_output():
     """Refusals last for dozens of responses if each changes the estimate little."""
-    scheduler = made()
+    scheduler = new_scheduler()
     for number in range(3):
         now = NOW + 0.6 * number
         ask(scheduler, f"r{number}", now)
