--- a/bitterntiller/components/dispatch/coordinator.py
+++ b/bitterntiller/components/dispatch/coordinator.py
@@ -397,7 +397,7 @@
 
     async def _async_deliver(self, pool: OwnedPool, decision: Decision) -> None:
         entry = self._directory.hosts_by_name.get(decision.entry_host)
-        message = self._build_message(pool, decision)
+        message = self._log_and_build_message(pool, decision)
         sent = False
         if entry is not None:
             sent = await self._links.async_send(entry.address, message)
@@ -407,7 +407,7 @@
         more = pool.drop_undelivered(decision.request_id, now)
         await self._async_execute(pool, more)
 
-    def _build_message(self, pool: OwnedPool, decision: Decision) -> Any:
+    def _log_and_build_message(self, pool: OwnedPool, decision: Decision) -> Any:
         log_decision(pool.name, decision)
         if isinstance(decision, Granted):
             self._metrics.count(f"{const.METRIC_GRANTS}.{pool.name}")
--- a/bitterntiller/components/dispatch/estimator.py
+++ b/bitterntiller/components/dispatch/estimator.py
@@ -25,7 +25,7 @@
         self._pool = pool
         self._size_estimator = size_estimator
 
-    def progress(
+    def learn_from_progress(
         self, job: Job, output_tokens: int, now: float, first: float | None
     ) -> None:
         """Learn from the number of tokens that a running request has received.
@@ -51,7 +51,9 @@
         job.tokens_seen = output_tokens
         job.tokens_at = now
 
-    def finished(self, job: Job, completion: Completion, now: float) -> None:
+    def learn_from_completion(
+        self, job: Job, completion: Completion, now: float
+    ) -> None:
         """Learn from the end of a request."""
         upstream = job.upstream
         if upstream is None:
@@ -76,14 +78,14 @@
         # measured mean of such calls. Relative to an unmeasured estimate, an upstream
         # would seem many times too slow or too fast for calls of all sizes.
         if not (self._plain and (job.adopted or job.unmeasured)):
-            self._learn_from_completion(job, upstream, completion, now)
+            self._learn_service_times(job, upstream, completion, now)
         if completion.cached_tokens is not None:
             upstream.prefixes.update_trust(
                 job.expected_cached, completion.cached_tokens
             )
 
-    def not_run(self, upstream: Upstream, reason: str, now: float) -> None:
-        """Learn from a request that the upstream did not accept."""
+    def learn_from_return(self, upstream: Upstream, reason: str, now: float) -> None:
+        """Learn from a returned grant that is a failure of the upstream."""
         if reason == REASON_NOT_ADMITTED:
             upstream.limit.record_rejection(
                 upstream.ledger.in_flight - 1, upstream.state.slots
@@ -111,7 +113,7 @@
             tokens - job.tokens_seen, now - job.tokens_at, upstream.ledger.in_flight
         )
 
-    def _learn_from_completion(
+    def _learn_service_times(
         self, job: Job, upstream: Upstream, completion: Completion, now: float
     ) -> None:
         """Learn from the times of a completed request."""
--- a/bitterntiller/components/dispatch/owned_pool.py
+++ b/bitterntiller/components/dispatch/owned_pool.py
@@ -25,7 +25,7 @@
 from bitterntiller.components.rollouts.models import VersionRules
 from bitterntiller.protocol import messages
 
-LOWEST_RANK = 1_000_000
+UNKNOWN_TIER_RANK = 1_000_000
 REASON_UNDELIVERED = "expired"
 UNLISTED_GRACE_SECONDS = 5.0
 
@@ -323,7 +323,7 @@
 
     def _request(self, message: messages.Register, now: float) -> WaitingRequest:
         config = self._config
-        rank = LOWEST_RANK
+        rank = UNKNOWN_TIER_RANK
         names = None
         if config is not None:
             rank = _rank(message.tier, config)
@@ -393,4 +393,4 @@
 
 def _rank(tier: str, config: Config) -> int:
     found = config.tiers_by_name.get(tier)
-    return found.rank if found else LOWEST_RANK
+    return found.rank if found else UNKNOWN_TIER_RANK
--- a/bitterntiller/components/dispatch/prefix.py
+++ b/bitterntiller/components/dispatch/prefix.py
@@ -109,7 +109,7 @@
             self._apply_change(change, now)
 
     def clear(self) -> None:
-        """Remove all prefixes, since the upstream has restarted."""
+        """Remove all prefixes, after a restart or the removal of the upstream."""
         for prefix_hash in list(self._cached_by_hash):
             self._drop(prefix_hash)
         self._sequence = None
--- a/bitterntiller/components/dispatch/quota_counter.py
+++ b/bitterntiller/components/dispatch/quota_counter.py
@@ -46,7 +46,7 @@
 
 
 class QuotaCounter:
-    """Makes the decisions of the quota host, without any I/O or clock of its own."""
+    """Makes the decisions of the counting host, without any I/O or clock of its own."""
 
     def __init__(self, window: QuotaWindow) -> None:
         self.ledger = QuotaLedger(window)
--- a/bitterntiller/components/dispatch/quota_service.py
+++ b/bitterntiller/components/dispatch/quota_service.py
@@ -55,10 +55,12 @@
         now = self._clock.now()
         request = _quota_request(message)
         if message.repeat:
-            return self._build_reply(self._counter.decide_repeat(request, context, now))
+            return self._log_and_build_reply(
+                self._counter.decide_repeat(request, context, now)
+            )
         decision = self._counter.decide(request, context, now)
         if decision is not None:
-            return self._build_reply(decision)
+            return self._log_and_build_reply(decision)
         self._metrics.count(const.METRIC_QUOTA_WAITS)
         return await self._async_wait(request)
 
@@ -92,7 +94,7 @@
                 continue
             now = self._clock.now()
             for decision in self._counter.decide_queued(context, now):
-                reply = self._build_reply(decision)
+                reply = self._log_and_build_reply(decision)
                 await self._async_reply(_key(decision.request), reply)
             await self._async_pause(self._counter.seconds_until_due(context, now))
 
@@ -114,7 +116,7 @@
         if replies is not None:
             await replies.put(reply)
 
-    def _build_reply(self, decision: QuotaDecision) -> Any:
+    def _log_and_build_reply(self, decision: QuotaDecision) -> Any:
         log_quota(decision)
         refusal = decision.refusal
         status = QUOTA_RESERVED if refusal is None else QUOTA_REFUSED
--- a/bitterntiller/components/dispatch/quotas.py
+++ b/bitterntiller/components/dispatch/quotas.py
@@ -94,8 +94,8 @@
     the quota's rate.
 
     A new ledger is empty. Each entry host reports what it has sent within the whole
-    window, and when; without these reports, each change of the quota host would grant
-    another full window.
+    window, and when; without these reports, each change of the counting host would
+    grant another full window.
     """
 
     def __init__(self, window: QuotaWindow) -> None:
--- a/bitterntiller/components/dispatch/reports.py
+++ b/bitterntiller/components/dispatch/reports.py
@@ -92,8 +92,8 @@
             return
         self._counted_hosts -= 1
         if not reporter.counting or reporter.incarnation != previous.incarnation:
-            # The host uses another quota host now or was restarted, and will not settle
-            # its earlier reservations here.
+            # The host uses another counting host now or was restarted, and will not
+            # settle its earlier reservations here.
             await self.quotas.async_reject(self._counter.forget_host(host, now))
 
     async def _async_update_quotas(self, report: Any, now: float) -> list[Any]:
--- a/bitterntiller/components/dispatch/scheduler.py
+++ b/bitterntiller/components/dispatch/scheduler.py
@@ -103,7 +103,7 @@
             self._limiter,
             self._wait_deadlines,
         )
-        self._granting = GrantLoop(
+        self._grant_loop = GrantLoop(
             self._pool,
             self._queue,
             self._jobs,
@@ -129,7 +129,7 @@
         decisions: list[Decision] = []
         for request in sorted(requests, key=_lowest_tier_first):
             self._admit(request, now, decisions)
-        self._granting.decide(now, decisions)
+        self._grant_loop.decide(now, decisions)
         return decisions
 
     def _admit(
@@ -171,7 +171,7 @@
             return []
         decisions: list[Decision] = []
         self._jobs.withdraw(job, now)
-        self._granting.decide(now, decisions)
+        self._grant_loop.decide(now, decisions)
         return decisions
 
     def started(self, request_id: str, now: float) -> list[Decision]:
@@ -192,14 +192,14 @@
         upstream = job.upstream
         if upstream is not None and reason in _REASONS_TO_TRY_ANOTHER:
             if reason not in _REASONS_WITHOUT_FAULT:
-                self._estimator.not_run(upstream, reason, now)
+                self._estimator.learn_from_return(upstream, reason, now)
             job.return_count += 1
             tried = (*job.request.tried, upstream.name)
             job.request = job.request._replace(tried=tried)
         self._jobs.withdraw(job, now)
         if waiting:
             self._requeue(job, now, decisions)
-        self._granting.decide(now, decisions)
+        self._grant_loop.decide(now, decisions)
         return decisions
 
     def progress(
@@ -214,13 +214,13 @@
         if job is None:
             return []
         self._jobs.mark_running(job, now)
-        self._estimator.progress(job, output_tokens, now, first)
+        self._estimator.learn_from_progress(job, output_tokens, now, first)
         if job.upstream is None:
             return []
         decisions: list[Decision] = []
         self._pool.refresh(job.upstream, now)
         if self._pool.freed:
-            self._granting.decide(now, decisions)
+            self._grant_loop.decide(now, decisions)
         return decisions
 
     def finished(self, completion: Completion, now: float) -> list[Decision]:
@@ -229,9 +229,9 @@
         if job is None:
             return []
         decisions: list[Decision] = []
-        self._estimator.finished(job, completion, now)
+        self._estimator.learn_from_completion(job, completion, now)
         self._jobs.withdraw(job, now)
-        self._granting.decide(now, decisions)
+        self._grant_loop.decide(now, decisions)
         return decisions
 
     def adopt_running(
@@ -257,7 +257,7 @@
         """Apply an announcement; return False if it is older than the known state."""
         decisions: list[Decision] = []
         accepted = self._pool.announce(state, now)
-        self._granting.decide(now, decisions)
+        self._grant_loop.decide(now, decisions)
         return accepted, decisions
 
     def update_rate_limit(self, update: RateLimitUpdate, now: float) -> list[Decision]:
@@ -265,7 +265,7 @@
         decisions: list[Decision] = []
         self._pool.update_rate_limit(update, now)
         if self._pool.freed:
-            self._granting.decide(now, decisions)
+            self._grant_loop.decide(now, decisions)
         return decisions
 
     def set_versions(
@@ -276,7 +276,7 @@
         self._picker.canaries.allowance = allowance
         self._pool.set_versions(rules, now)
         self._blocked.clear()
-        self._granting.decide(now, decisions)
+        self._grant_loop.decide(now, decisions)
         return decisions
 
     def review(self, fingerprints: frozenset[int], now: float) -> list[Decision]:
@@ -295,7 +295,7 @@
                 decisions.append(self._refusals.quarantined(job, quarantined_for, now))
                 continue
             self._jobs.regroup(job, lambda job=job: self._set_group_key(job, now))
-        self._granting.decide(now, decisions)
+        self._grant_loop.decide(now, decisions)
         return decisions
 
     def set_limits(
@@ -305,7 +305,7 @@
         decisions: list[Decision] = []
         self._limiter.set_limits(limits_by_workspace)
         self._queue.uncap_all()
-        self._granting.decide(now, decisions)
+        self._grant_loop.decide(now, decisions)
         return decisions
 
     def tick(self, now: float) -> list[Decision]:
@@ -321,7 +321,7 @@
         self._pool.refresh_due(now)
         if now >= self._housekeeping_at:
             self._housekeep(now, decisions)
-        self._granting.decide(now, decisions)
+        self._grant_loop.decide(now, decisions)
         return decisions
 
     def next_wake(self, now: float) -> float:
--- a/bitterntiller/components/dispatch/speed.py
+++ b/bitterntiller/components/dispatch/speed.py
@@ -141,7 +141,7 @@
         super().__init__()
         self._pool = pool
         self._prefill_rate_by_kind: list[float | None] = [None, None]
-        self._samples = [0, 0]
+        self._prefill_samples_by_kind = [0, 0]
         self._seconds_by_bucket: list[float | None] = [None] * CONCURRENCY_BUCKETS
         self._best: float | None = None
         self.scale = 1.0
@@ -183,8 +183,8 @@
         if max(expected, measured) < 4 * OVERHEAD_SECONDS:
             return
         ratio = _clip_ratio(max(measured, 0.001) / max(expected, 0.001))
-        self._samples[kind] += 1
-        gain = max(0.8 / self._samples[kind], 0.2)
+        self._prefill_samples_by_kind[kind] += 1
+        gain = max(0.8 / self._prefill_samples_by_kind[kind], 0.2)
         rate = self.prefill_rate(kind) * ratio**-gain
         self._prefill_rate_by_kind[kind] = rate
         self._pool.record_prefill_rate(rate)
--- a/bitterntiller/components/dispatch/upstreams.py
+++ b/bitterntiller/components/dispatch/upstreams.py
@@ -60,7 +60,7 @@
         self._prefill_window = parameters.prefill_window
 
     def restart(self) -> None:
-        """Reset everything measured of the previous incarnation.
+        """Reset requests, prefixes, failures, limits and speed of the old incarnation.
 
         Otherwise an upstream that was slow before its restart would get few requests
         for a long time, and it would get requests for prefixes that it lost.
@@ -178,7 +178,7 @@
 
     def __init__(self) -> None:
         self._names: list[str] = []
-        self._place_by_name: dict[str, int] = {}
+        self._index_by_name: dict[str, int] = {}
 
     def __len__(self) -> int:
         return len(self._names)
@@ -187,24 +187,24 @@
         return iter(self._names)
 
     def __contains__(self, name: str) -> bool:
-        return name in self._place_by_name
+        return name in self._index_by_name
 
     def add(self, name: str) -> None:
         """Add a name."""
-        if name in self._place_by_name:
+        if name in self._index_by_name:
             return
-        self._place_by_name[name] = len(self._names)
+        self._index_by_name[name] = len(self._names)
         self._names.append(name)
 
     def discard(self, name: str) -> None:
         """Remove a name by moving the last one to its position."""
-        place = self._place_by_name.pop(name, None)
-        if place is None:
+        index = self._index_by_name.pop(name, None)
+        if index is None:
             return
         last = self._names.pop()
         if last != name:
-            self._names[place] = last
-            self._place_by_name[last] = place
+            self._names[index] = last
+            self._index_by_name[last] = index
 
     def sample(self, count: int, rng: random.Random) -> list[str]:
         """Return a random sample of names, drawn with replacement."""
