--- a/bitterntiller/components/entry/interface.py
+++ b/bitterntiller/components/entry/dialect.py
@@ -12,15 +12,15 @@
     ActiveRequest,
     Estimate,
     GrantReceived,
-    Identified,
-    Received,
+    IdentifiedRequest,
+    ReceivedRequest,
     ReportedLoad,
 )
 from bitterntiller.components.http.models import Headers, RequestHead, ResponseHead
 from bitterntiller.core.outcomes import Ending
 
 
-class Finding(StrEnum):
+class ResponseClass(StrEnum):
     """What the head of an upstream's answer means for its request.
 
     ANSWER: it is to be relayed. NOT_RUN: the upstream's word that it did not run the
@@ -36,14 +36,14 @@
     FOREIGN = "foreign"
 
 
-class Interface(Protocol):
+class HttpDialect(Protocol):
     """The conversation of an entry host with callers and upstreams."""
 
-    def receive(self, head: RequestHead, now: float) -> Received | Ending:
+    def parse_request(self, head: RequestHead, now: float) -> ReceivedRequest | Ending:
         """Return what the headers of a request tell, or why it can't be served."""
         ...
 
-    def estimate(self, identified: Identified, body: bytes) -> Estimate:
+    def estimate(self, identified: IdentifiedRequest, body: bytes) -> Estimate:
         """Return the work that a request asks for."""
         ...
 
@@ -53,7 +53,9 @@
         """Return the headers of the request to the upstream of a grant."""
         ...
 
-    def find(self, active: ActiveRequest, head: ResponseHead) -> Finding:
+    def classify_response(
+        self, active: ActiveRequest, head: ResponseHead
+    ) -> ResponseClass:
         """Tell what the head of an upstream's answer means."""
         ...
 
@@ -69,7 +71,7 @@
         """
         ...
 
-    def answer_headers(self, active: ActiveRequest, head: ResponseHead) -> Headers:
+    def response_headers(self, active: ActiveRequest, head: ResponseHead) -> Headers:
         """Return the headers of a relayed answer."""
         ...
 
