--- a/bitterntiller/components/replication/__init__.py
+++ b/bitterntiller/components/replication/__init__.py
@@ -1,4 +1,4 @@
-"""The replicated log: the same commands in the same order on all replicas."""
+"""Replicated log (Raft): the same commands in the same order on every replica."""
 
 import curio
 
@@ -13,9 +13,9 @@
 
 
 async def async_setup(runtime: Runtime, state_machine: StateMachine) -> ReplicatedLog:
-    """Open the data folder and take part in the log until the process unloads.
+    """Open the data folder and run a replica of the log until the process unloads.
 
-    Raise a BrokenInvariantError when the folder is damaged or in use.
+    Raise BrokenInvariantError if the folder is damaged or in use.
     """
     settings = runtime.settings
     if settings.data_folder is None:
--- a/bitterntiller/components/replication/const.py
+++ b/bitterntiller/components/replication/const.py
@@ -4,7 +4,7 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry of the log holds."""
+    """Kind of a log entry."""
 
     NOOP = 0
     COMMAND = 1
@@ -32,40 +32,43 @@
 DEFAULT_PIECE_BYTES = 256 * 1024
 DEFAULT_MAX_UNCOMMITTED = 20000
 DEFAULT_TRAILING_ENTRIES = 1000
-"""Entries kept behind a snapshot, for followers that are a little behind."""
+"""Entries kept before a snapshot's index, so that a follower that lags by less needs
+no snapshot."""
 
 DEFAULT_SNAPSHOT_BYTES = 32 * 1024 * 1024
-"""Bytes of applied entries after which the log is cut, however few they are."""
+"""Bytes of applied entries that trigger a snapshot, however few the entries are."""
 
 DEFAULT_STARTUP_CHECK_GRACE = 2.0
-"""Seconds a returning replica waits for the answers of all other voters."""
+"""Seconds that a starting replica waits for the replies of all other voters."""
 
 DEFAULT_FIRST_ELECTION_SPACING = 0.04
-"""Seconds between the first campaigns of two voters that were started together.
+"""Seconds between the first campaigns of two voters that start together.
 
-With five voters control leads 0.07 s after the last of them is up, and 0.61 s after
-it when each waits for an election timeout: means of three losses of power.
+With five voters, control has a leader 0.07 s after the last voter is up, and 0.61 s
+after it if each waits for an election timeout (means over three power losses).
 
-A campaign takes two round trips and a sync on each side: 3 ms between zones and 5 ms a
-sync. Beyond it, as between regions, two may ask at once, and one of them asks again.
+A campaign takes two round trips and a sync on each side: 3 ms between zones and 5 ms
+per sync. With longer delays, as between regions, two voters may campaign at the same
+time, and one of them retries.
 """
 
 DEFAULT_LEADERLESS_TIMEOUT = 10.0
-"""Seconds without a leader after which a replica asks about itself again."""
+"""Seconds without a leader after which a replica repeats its startup check."""
 
 DEFAULT_SILENT_VOTER_TIMEOUT = 2.0
-"""Seconds after which a silent voter gives its place to a learner that waits.
+"""Seconds of silence after which a voter is replaced by a learner that has caught up.
 
-Longer than the longest election timeout, so that a voter that is only restarted
-keeps its place; short enough for a successor to vote within 4 s of its start.
+Longer than the longest election timeout, so that a voter that only restarts stays a
+voter; short enough for its replacement to vote within 4 s of its start.
 """
 
 MAX_MEMBERS = 16
-"""Replicas of one log, learners included; each costs its leader a heartbeat."""
+"""Replicas of one log, including learners; each costs the leader a heartbeat."""
 
 NO_VOTE = ""
 VOTE_BARRED = "-"
-"""Stands for a vote that may have been cast in this term and been forgotten."""
+"""Vote of a term in which this replica may have cast a vote that it has forgotten; it
+does not vote in that term."""
 
 VERDICT_FINE = "fine"
 VERDICT_STALE = "stale"
--- a/bitterntiller/components/replication/coordinator.py
+++ b/bitterntiller/components/replication/coordinator.py
@@ -1,4 +1,4 @@
-"""Drives a replica: its time, its disk, its messages and its callers."""
+"""Runs a replica: its timers, disk writes, messages and callers."""
 
 import random
 from collections.abc import Mapping
@@ -35,13 +35,14 @@
 
 TICK = 0.03
 TRANSFER_RETRY_PERIOD = 0.1
-"""Seconds between two calls to lead; one takes some messages and two syncs."""
+"""Seconds between attempts to transfer leadership; one takes some messages and two
+syncs."""
 
 SNAPSHOT_BYTES = DEFAULT_SNAPSHOT_BYTES
 
 
 class ReplicationCoordinator:
-    """A ReplicatedLog whose replica is on this host."""
+    """ReplicatedLog backed by the replica on this host."""
 
     def __init__(
         self, runtime: Runtime, machine: StateMachine, storage: Storage
@@ -68,7 +69,7 @@
         self._applied = 0
         self._applied_bytes = 0
         self._snapshot_bytes = 0
-        self._led = False
+        self._was_leader = False
         self._startup_check_done = False
         self._reply_address_by_host: dict[str, str] = {}
         self._leader_known = curio.Event()
@@ -81,7 +82,7 @@
         return Replica(self._storage.restored, self._tuning, self._rng, now)
 
     async def async_start(self) -> None:
-        """Take messages and let time pass until the process unloads."""
+        """Start processing messages and timers until the process unloads."""
         links, stack = self._runtime.links, self._runtime.stack
         for cls in WIRE_TYPES:
             stack.callback(links.handle(cls, self._async_receive))
@@ -106,7 +107,7 @@
         return proposal.result._replace(leader=self.leader())
 
     async def async_confirm(self, timeout: float) -> int | None:
-        """Return a read index confirmed by a quorum, once it is applied."""
+        """Return a read index confirmed by a quorum once it is applied, else None."""
         token = self._waiters.new_token()
         if self.failure or not self._replica.request_read_index(token):
             return None
@@ -119,9 +120,9 @@
         return None
 
     async def async_hand_over(self, timeout: float) -> bool:
-        """Have another replica lead before this one stops; False if none has in time.
+        """Transfer leadership before this replica stops; return False if that fails.
 
-        A replica that doesn't lead has nothing to hand over.
+        Return True at once if this replica is not the leader.
         """
         async with curio.ignore_after(timeout):
             while self.is_leader():
@@ -132,29 +133,29 @@
         return not self.is_leader()
 
     def is_leader(self) -> bool:
-        """Tell whether this replica leads, as far as it knows."""
+        """Return whether this replica is the leader, as far as it knows."""
         return self._replica.state.role is Role.LEADER and self.failure is None
 
     def leader(self) -> str:
-        """Return the internal address of the leader, empty when not known."""
+        """Return the internal address of the leader, empty if unknown."""
         state = self._replica.state
         member = find(state.members, state.leader)
         return member.address if member else ""
 
     async def async_leader_known(self, timeout: float) -> None:
-        """Return once a leader is known here, or after timeout seconds."""
+        """Wait until a leader is known here, for up to timeout seconds."""
         async with curio.ignore_after(timeout):
             await self._leader_known.wait()
 
     def status(self) -> Mapping[str, Any]:
-        """Return term, leader, members, indexes and lags, for the dump."""
+        """Return term, leader, members, indexes and lags for the state dump."""
         now = self._runtime.clock.now()
         described = describe(self._replica.state, self._applied, now)
         described["failure"] = str(self.failure or "")
         return described
 
     async def _async_guarded(self, run: Any) -> None:
-        """Run a task; a broken invariant stops the replica, not just the task."""
+        """Run a task; on a broken invariant, stop the whole replica."""
         try:
             await run()
         except BrokenInvariantError as error:
@@ -162,7 +163,7 @@
 
     async def _async_halt(self, error: BrokenInvariantError) -> None:
         self.failure = self.failure or error
-        logging.error("the replica stops: %s", error)
+        logging.error("stopping the replica: %s", error)
         await self._waiters.async_fail_all()
         await self._runtime.async_fail(error)
 
@@ -213,7 +214,7 @@
             await self._waiters.async_resolve_read(outcome, self._applied)
         await self._waiters.async_notify_applied(self._applied)
         self._report_startup_check()
-        await self._async_note_role()
+        await self._async_handle_role_change()
         self._snapshot_if_due()
         if effects.committed:
             await self._wake.set()
@@ -227,7 +228,7 @@
         await self._waiters.async_resolve_proposal(entry.index, entry.term, result)
 
     def _report_startup_check(self) -> None:
-        """Log that the other voters have answered what they remember of this one."""
+        """Emit an event once the startup check is complete."""
         startup_check = self._replica.state.startup_check
         if startup_check.done == self._startup_check_done:
             return
@@ -236,27 +237,29 @@
             seconds = round(self._runtime.clock.now() - startup_check.started_at, 3)
             events.emit("voters-answered", after=seconds, term=self._replica.state.term)
 
-    async def _async_note_role(self) -> None:
-        """Answer those who wait at once when leadership has been lost or settled."""
+    async def _async_handle_role_change(self) -> None:
+        """Wake callers that wait for a leader; on lost leadership fail all others."""
         if not self.leader():
             self._leader_known.clear()
         elif not self._leader_known.is_set():
             await self._leader_known.set()
         leads = self._replica.state.role is Role.LEADER
-        if leads == self._led:
+        if leads == self._was_leader:
             return
-        self._led = leads
-        logging.info("term %d: leader %s", self._replica.state.term, leads)
+        self._was_leader = leads
+        logging.info(
+            "term %d: this replica is leader: %s", self._replica.state.term, leads
+        )
         if not leads:
             self._repairer.clear_commands()
             await self._waiters.async_fail_all()
 
     def _snapshot_if_due(self) -> None:
-        """Cut the log when it has many entries, or many bytes.
+        """Take a snapshot and compact the log when it has many entries or bytes.
 
-        A command can hold a group of claims, so that a log of few entries can be
-        hundreds of megabytes, which show as a start of minutes. A large state is
-        written anew only when as much again has been applied.
+        A command can hold a group of claims, so a log of few entries can be hundreds
+        of megabytes, and loading it at a start takes minutes. A large state is written
+        again only once as many bytes as it has were applied.
         """
         snapshot = self._replica.state.snapshot
         behind = self._applied - (snapshot.index if snapshot else 0)
@@ -270,7 +273,7 @@
         self._snapshot_bytes = len(data)
 
     async def _async_retire(self, why: str) -> None:
-        """Begin anew under another identity, as a learner with an empty log."""
+        """Restart under a new identity, as a learner with an empty log."""
         logging.warning("replica %s is given up: %s", self._replica.state.replica, why)
         self._runtime.metrics.count("replication.retired")
         await self._writer.async_retire(self._reset_replica)
@@ -293,8 +296,8 @@
             member = find(state.startup_check.newest_membership(state.members), replica)
         if member is not None:
             return member.address
-        # An empty learner has no membership yet to find its leader in, or those who
-        # ask what it remembers.
+        # An empty learner has no membership yet in which to look up its leader or the
+        # replicas whose startup checks it replies to.
         known = self._joiner.address_by_replica.get(replica, "")
         return known or self._reply_address_by_host.get(host_of(replica), "")
 
--- a/bitterntiller/components/replication/core.py
+++ b/bitterntiller/components/replication/core.py
@@ -1,7 +1,7 @@
 """One replica as a pure state machine: messages and ticks in, effects out.
 
-The caller carries out what take() returns: it syncs persist and reports it by
-persisted(), sends messages, and applies committed entries. It calls take()
+The caller executes what take_effects() returns: it syncs persist and reports it with
+persisted(), sends messages, and applies committed entries. It calls take_effects()
 after each of the other calls.
 """
 
@@ -36,18 +36,19 @@
 from .state import Role, State
 
 _TERMLESS = (PreVote, PreVoteReply, ReturnCheck, ReturnCheckReply)
-"""Messages whose term is a question or a statement, not the sender's claim."""
+"""Messages whose term doesn't make the receiver adopt it: a pre-vote asks for a term
+that its sender has not entered, a startup check only reports the sender's."""
 
 
 def is_outdated(state: State, message: Message) -> bool:
-    """Tell whether a message comes from an earlier term."""
+    """Return whether a message is from an earlier term."""
     return message.term < state.term
 
 
 def is_from_earlier_boot(state: State, message: Message) -> bool:
-    """Tell whether the sender has been started anew since it sent this.
+    """Return whether the sender has restarted since it sent this message.
 
-    Two processes on copies of one folder would otherwise both be heard.
+    Otherwise messages of two processes on copies of one folder would both count.
     """
     if isinstance(message, ReturnCheck):
         return False
@@ -56,7 +57,7 @@
 
 
 class Replica:
-    """A replica of the log; now is in seconds of a clock that never goes back."""
+    """A replica of the log; now is the time of a monotonic clock in seconds."""
 
     def __init__(
         self, restored: PersistentState, tuning: Tuning, rng: random.Random, now: float
@@ -65,7 +66,7 @@
         startup_check.on_tick(self.state, now)
 
     def bootstrap(self, members: Iterable[Member]) -> None:
-        """Begin a new deployment's log with its first membership."""
+        """Start the log of a new deployment with its first membership."""
         state = self.state
         if state.log.last_index or state.members.index:
             return
@@ -73,7 +74,7 @@
         state.append(Entry(1, 1, EntryKind.MEMBERS, encode_members(members)))
 
     def tick(self, now: float) -> None:
-        """Let time pass; to be called several times per heartbeat."""
+        """Process timeouts; call this several times per heartbeat interval."""
         state = self.state
         if state.retired:
             return
@@ -85,7 +86,7 @@
             election.on_election_timeout(state, now)
 
     def receive(self, message: Message, now: float) -> None:
-        """Take a message of another replica."""
+        """Process a message from another replica."""
         state = self.state
         if state.retired or is_from_earlier_boot(state, message):
             return
@@ -143,7 +144,7 @@
         state.reset_election_timer(now)
 
     def _reply_to_outdated(self, message: Message, now: float) -> None:
-        """Tell a deposed leader or a late candidate the present term."""
+        """Reply with the current term to a deposed leader or a late candidate."""
         state = self.state
         match message:
             case Vote():
@@ -162,23 +163,23 @@
                 state.send_after_sync(message.leader, reply)
 
     def propose(self, data: bytes) -> LogPosition | None:
-        """Append a command; None when it is certainly not in the log."""
+        """Append a command; return None if it is certainly not in the log."""
         return leading.propose(self.state, data)
 
     def request_read_index(self, token: int) -> bool:
-        """Ask for a confirmed read index; False when this is no leader."""
+        """Request a confirmed read index; return False if not the leader."""
         return leading.request_read_index(self.state, token)
 
     def change_members(
         self, members: Iterable[Member], now: float
     ) -> LogPosition | None:
-        """Change the membership by one voter at most; None when refused."""
+        """Change the membership by at most one voter; return None if refused."""
         return leading.change_members(self.state, members, now)
 
     def set_stalled(self, stalled: bool, now: float) -> bool:
-        """Note whether the disk stalls; tell whether that is news.
+        """Record whether the disk is stalled; return whether this has changed.
 
-        With a stalled disk this replica neither leads nor tries to.
+        With a stalled disk this replica neither leads nor campaigns.
         """
         state = self.state
         if state.stalled == stalled:
@@ -189,19 +190,19 @@
         return True
 
     def transfer_leadership(self, now: float) -> str:
-        """Have another voter lead; return which, empty when none can be asked."""
+        """Transfer leadership to another voter; return it, empty if there is none."""
         return leading.transfer_leadership(self.state, now)
 
     def snapshot_taken(self, index: int, data: bytes) -> None:
-        """Hand in the state as it was after an applied entry."""
+        """Store a snapshot of the state after an applied entry."""
         self.state.snapshot_taken(index, data)
 
     def persisted(self, number: int, now: float) -> None:
-        """Report that the records of take() with that number are synced."""
+        """Report that the write with that number is synced."""
         self.state.persisted(number)
         leading.advance_commit(self.state, now)
 
     def take_effects(self, now: float) -> Effects:
-        """Return what is to be done now, never the same thing twice."""
+        """Return the effects that are due, each of them once."""
         leading.flush(self.state, now)
         return self.state.take_effects()
--- a/bitterntiller/components/replication/diagnostics.py
+++ b/bitterntiller/components/replication/diagnostics.py
@@ -1,4 +1,4 @@
-"""The share of the replicated log in the dump."""
+"""Replicated log's section of the state dump."""
 
 from typing import Any
 
--- a/bitterntiller/components/replication/election.py
+++ b/bitterntiller/components/replication/election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-vote, votes, and who may win them."""
+"""Elections: pre-votes, votes, and which replicas may campaign."""
 
 from . import leading
 from .const import NO_VOTE
@@ -8,31 +8,32 @@
 
 
 def is_up_to_date(state: State, last_term: int, last_index: int) -> bool:
-    """Tell whether a candidate's log holds all that this replica answers for.
+    """Return whether a candidate's log is at least as up to date as required.
 
-    That is its own log, and since its start the furthest log of its peers.
+    It must reach this replica's own log, and the furthest log that the peers reported
+    in the startup check.
     """
     own = (state.log.last_term, state.log.last_index)
     return (last_term, last_index) >= max(own, state.startup_check.vote_floor)
 
 
 def may_vote_for(state: State, candidate: str) -> bool:
-    """Tell whether the vote of this term is free or already the candidate's."""
+    """Return whether the vote of this term is unused or already the candidate's."""
     return state.hard.vote in (NO_VOTE, candidate)
 
 
 def may_campaign(state: State) -> bool:
-    """Tell whether this replica may try to become the leader."""
+    """Return whether this replica may campaign for leadership."""
     if state.stalled or not (_may_be_needed(state) and state.startup_check.done):
         return False
     return is_up_to_date(state, state.log.last_term, state.log.last_index)
 
 
 def _may_be_needed(state: State) -> bool:
-    """Tell whether this replica is a voter, or was before the newest change.
+    """Return whether this replica is a voter, or was one before an uncommitted change.
 
-    While its own removal is uncommitted it may hold the longest log, so that
-    nobody else can be elected to commit it.
+    While its own removal is uncommitted, it may have the longest log, so that no
+    other replica can be elected to commit the removal.
     """
     members = state.members
     if members.index > state.commit and not state.is_voter():
@@ -41,7 +42,7 @@
 
 
 def on_election_timeout(state: State, now: float) -> None:
-    """Ask for pre-votes, since no leader has been heard of for too long."""
+    """Start a pre-vote because the election timeout has passed without a leader."""
     state.start_retry_timer(now)
     state.leader = ""
     if not may_campaign(state):
@@ -62,16 +63,16 @@
 
 
 def on_pre_vote(state: State, message: PreVote, now: float) -> None:
-    """Answer a pre-vote, which changes nothing here.
+    """Reply to a pre-vote request without changing this replica's state.
 
-    A replica that hears its leader refuses, so that a host behind a cut can't
-    depose the leader when it comes back.
+    A replica in contact with its leader refuses, so that a host that reconnects
+    after a network partition can't depose the leader.
     """
-    hears_leader = state.role is Role.LEADER or (
+    has_leader_contact = state.role is Role.LEADER or (
         state.leader and now < state.last_leader_contact + state.tuning.election_min
     )
     granted = (
-        not hears_leader
+        not has_leader_contact
         and state.startup_check.done
         and message.term > state.term
         and is_up_to_date(state, message.last_term, message.last_index)
@@ -82,7 +83,7 @@
 
 
 def on_pre_vote_reply(state: State, message: PreVoteReply, now: float) -> None:
-    """Campaign once a quorum would vote for this replica."""
+    """Campaign once a quorum has granted the pre-vote."""
     if state.role is not Role.PRE_CANDIDATE:
         return
     if not message.granted or message.term != state.term + 1:
@@ -93,10 +94,10 @@
 
 
 def on_timeout_now(state: State, now: float) -> None:
-    """Campaign at once, as the leader stops; a pre-vote would be refused.
+    """Campaign at once, without a pre-vote, because the leader requested it.
 
-    Voters that still hear the leader refuse pre-votes, and none is needed: the leader
-    asked for this itself, so nobody is deposed by it.
+    Voters in contact with the leader would refuse a pre-vote. It is not needed here:
+    the leader transfers its leadership itself, so no working leader is deposed.
     """
     if state.role is not Role.LEADER and may_campaign(state):
         state.reset_election_timer(now)
@@ -104,7 +105,7 @@
 
 
 def on_vote(state: State, message: Vote, now: float) -> None:
-    """Vote at most once a term, and only for a log that lacks nothing."""
+    """Vote at most once per term, and only for a log that is up to date."""
     granted = (
         message.term == state.term
         and state.startup_check.done
@@ -120,7 +121,7 @@
 
 
 def on_vote_reply(state: State, message: VoteReply, now: float) -> None:
-    """Lead once a quorum has voted for this replica."""
+    """Become the leader once a quorum has voted for this replica."""
     if not message.granted:
         return
     mark = state.marks_by_replica.get(message.voter, Mark())
@@ -134,7 +135,7 @@
 
 
 def _campaign(state: State, now: float) -> None:
-    # The votes need a sync each; a new pre-vote meanwhile would give them up.
+    # Each vote needs a sync; another pre-vote in the meantime would discard the votes.
     state.reset_election_timer(now)
     state.role = Role.CANDIDATE
     state.count("elections_begun")
--- a/bitterntiller/components/replication/errors.py
+++ b/bitterntiller/components/replication/errors.py
@@ -4,7 +4,7 @@
 
 
 class LogDamagedError(BrokenInvariantError):
-    """A file of the data folder is damaged in its middle."""
+    """A file of the data folder is damaged, not just cut short by a crash."""
 
     code = "log-damaged"
 
@@ -15,13 +15,13 @@
 
 
 class StorageFailedError(BrokenInvariantError):
-    """A write or a sync failed; what is on the disk is not known any more."""
+    """A write or sync failed, and the state of the disk is unknown."""
 
     code = "storage-failed"
 
 
 class StorageFullError(CodedError):
-    """A write found no room on the disk and was undone; it can be tried again."""
+    """The disk is full; the write was undone and can be retried."""
 
     code = "storage-full"
 
@@ -33,12 +33,13 @@
 
 
 class SafetyError(BrokenInvariantError):
-    """A message contradicts what is committed."""
+    """A message violates a safety property: it contradicts committed entries or the
+    leader of the term."""
 
     code = "replication-safety"
 
 
 class NoDataFolderError(BrokenInvariantError):
-    """The settings of a host with the control role name no data folder."""
+    """A host with the control role has no data folder in its settings."""
 
     code = "no-data-folder"
--- a/bitterntiller/components/replication/following.py
+++ b/bitterntiller/components/replication/following.py
@@ -1,4 +1,4 @@
-"""The follower's side of replication: entries and snapshots of a leader."""
+"""Follower's side of replication: entries and snapshots from a leader."""
 
 from .errors import SafetyError
 from .members import decode_members
@@ -7,19 +7,19 @@
 
 
 def has_previous_entry(state: State, message: Append) -> bool:
-    """Tell whether this log holds the entry that the new ones follow."""
+    """Return whether this log holds the entry that the new ones follow."""
     return state.log.term_at(message.prev_index) == message.prev_term
 
 
 def is_newer_snapshot(state: State, message: SnapshotPiece) -> bool:
-    """Tell whether a snapshot goes beyond what is committed here."""
+    """Return whether a snapshot is ahead of the commit index."""
     return message.last_index > state.commit
 
 
 def on_append(state: State, message: Append) -> None:
-    """Take over a leader's entries; the reply leaves once they are synced."""
+    """Append a leader's entries; the reply is sent once they are synced."""
     if message.prev_index < state.log.base_index:
-        # All up to the commit index is the same on each replica that has it.
+        # Committed entries are identical on every replica that has them.
         _reply(state, message, True, state.commit)
         return
     if not has_previous_entry(state, message):
@@ -62,7 +62,7 @@
 
 
 def on_piece(state: State, message: SnapshotPiece) -> None:
-    """Collect a snapshot's bytes in their order and install it when whole."""
+    """Assemble a snapshot from its pieces in order; install it when complete."""
     if not is_newer_snapshot(state, message):
         _reply_piece(state, message, 0, True)
         return
--- a/bitterntiller/components/replication/frames.py
+++ b/bitterntiller/components/replication/frames.py
@@ -1,8 +1,8 @@
 """Checksummed, length-prefixed frames in a file.
 
-A file begins with a head of its own: magic, a random salt and the index of the
-snapshot that it needs. The salt goes into each checksum, so that bytes of
-another file, carried as data, are never taken for a frame.
+A file begins with a header: magic, a random salt and the index of the snapshot that it
+needs. The salt seeds each checksum, so that bytes of another file that are stored as
+data are never mistaken for a frame.
 """
 
 import os
@@ -21,39 +21,39 @@
 
 
 class FileHeader(NamedTuple):
-    """The head of a file; base is the index of the snapshot that it needs."""
+    """Header of a file; base is the index of the snapshot that it needs."""
 
     salt: int
     base: int
 
 
 def new_header(base: int) -> FileHeader:
-    """Return a head with a new salt."""
+    """Return a header with a new salt."""
     return FileHeader(int.from_bytes(os.urandom(4), "little"), base)
 
 
 def encode_header(header: FileHeader) -> bytes:
-    """Return the bytes of a file's head."""
+    """Return the bytes of a file's header."""
     checksum = zlib.crc32(struct.pack("<IQ", header.salt, header.base))
     return _HEADER.pack(_MAGIC, header.salt, header.base, checksum)
 
 
 def decode_header(file: str, data: bytes) -> FileHeader:
-    """Return the head; raise LogDamagedError when it is not one.
+    """Return the header; raise LogDamagedError if it is invalid.
 
-    A file gets its name only after it has been synced, so this is never a
-    write that a crash has cut short.
+    A file gets its name only after it has been synced, so an invalid header is never
+    a write that was cut short by a crash.
     """
     if len(data) < HEADER_SIZE:
-        raise LogDamagedError(file, 0, "the head of the file is cut off")
+        raise LogDamagedError(file, 0, "the file header is truncated")
     magic, salt, base, checksum = _HEADER.unpack_from(data)
     if magic != _MAGIC or checksum != zlib.crc32(struct.pack("<IQ", salt, base)):
-        raise LogDamagedError(file, 0, "the head of the file is damaged")
+        raise LogDamagedError(file, 0, "the file header is damaged")
     return FileHeader(salt, base)
 
 
 def encode_frame(header: FileHeader, payload: bytes) -> bytes:
-    """Return the bytes of a frame."""
+    """Return a payload as the bytes of a frame."""
     start = struct.pack(
         "<4sII", _FRAME_MAGIC, len(payload), zlib.crc32(payload, header.salt)
     )
@@ -61,7 +61,7 @@
 
 
 def _frame_at(header: FileHeader, data: bytes, offset: int) -> bytes | None:
-    """Return the payload of the frame at an offset, None if it is not whole."""
+    """Return the payload of the frame at an offset, None if it is not valid."""
     if offset + _FRAME.size > len(data):
         return None
     mark, length, checksum, own = _FRAME.unpack_from(data, offset)
@@ -79,13 +79,12 @@
 def decode_frames(
     file: str, data: bytes, required_frames: int
 ) -> tuple[list[bytes], int]:
-    """Return the payloads, and how many bytes of the file are sound.
+    """Return the payloads, and the number of valid bytes of the file.
 
-    The first so many frames, named by whole, were synced before the file got
-    its name and must be sound. Behind them a write cut short by a crash is left
-    out. Each write is one frame and is synced before the next begins, so a
-    bad frame with a good one behind it is no such write but damage: this
-    raises LogDamagedError rather than drop synced entries.
+    The first required_frames frames were synced before the file got its name and must
+    be valid. After them, a write cut short by a crash is ignored. Each write is one
+    frame and is synced before the next begins, so an invalid frame followed by a valid
+    one is damage: raise LogDamagedError rather than drop synced entries.
     """
     header = decode_header(file, data)
     payloads: list[bytes] = []
--- a/bitterntiller/components/replication/join_decisions.py
+++ b/bitterntiller/components/replication/join_decisions.py
@@ -1,11 +1,11 @@
-"""How a replica with an empty folder gets into a membership.
-
-The first membership is formed once, by the first bootstrap host in the order of
-names or internal addresses, whichever the settings list, and only after every
-bootstrap host has answered that its folder is empty too. A host whose disk was lost
-hears from some other that a log exists, and becomes a learner of it; if it hears from
-too few, it waits. So an empty disk
-never starts a second deployment beside a living one.
+"""Rules by which a replica with an empty folder joins or forms a membership.
+
+The first membership is formed once, by the first bootstrap host in the order of host
+names or internal addresses, whichever the settings list, and only after every other
+bootstrap host has replied that its folder is empty too. A host that lost its disk
+learns from another host that a log exists and joins it as a learner; with too few
+replies it waits. An empty disk therefore never starts a second deployment beside an
+existing one.
 """
 
 from typing import Any, NamedTuple
@@ -30,7 +30,7 @@
 
 
 class LocalReplica(NamedTuple):
-    """This host as the others are to know it."""
+    """Replica id, host and address under which this host joins."""
 
     replica: str
     host: str
@@ -38,12 +38,12 @@
 
 
 def is_empty(state: State) -> bool:
-    """Tell whether this replica has no log yet."""
+    """Return whether this replica has no log yet."""
     return state.log.last_index == 0 and not state.members.index
 
 
 def needs_joining(state: State, address: str) -> bool:
-    """Tell whether this replica is unknown, or known under another address."""
+    """Return whether the membership lacks this replica or its present address."""
     member = find(state.members, state.replica)
     return member is None or member.address != address
 
@@ -51,7 +51,7 @@
 def first_members(
     own: LocalReplica, bootstrap: tuple[str, ...], replies: list[Any]
 ) -> tuple[Member, ...] | None:
-    """Return the first membership if this host is to form it now."""
+    """Return the first membership if this host must form it now, else None."""
     if not bootstrap or min(bootstrap) not in (own.host, own.address):
         return None
     found = [Member(*own, True)]
@@ -67,7 +67,7 @@
 
 
 def formed_members(state: State, replies: list[Any]) -> tuple[Member, ...] | None:
-    """Return the first membership as another host formed it with this one."""
+    """Return the first membership that another host formed, if this one is in it."""
     for reply in replies:
         if reply.status != JOIN_FORMED or not reply.members:
             continue
@@ -78,11 +78,11 @@
 
 
 def on_empty_follower(state: State, replica: str) -> None:
-    """Take note, as a leader, that a follower's log is empty.
+    """Reset a follower's progress on the leader, as its log is empty.
 
-    An old copy of a folder may be one from before the first entry; it knows no
-    voters to ask about itself. A newcomer that is being sent a snapshot holds
-    nothing yet either, and must not be made to begin again.
+    An old copy of a folder can predate the first entry, and then knows no voters for
+    a startup check. A new learner that is receiving a snapshot has an empty log too,
+    but has acknowledged nothing, and its transfer must not be restarted.
     """
     progress = state.progress_by_replica.get(replica)
     if progress is not None and progress.match:
@@ -90,7 +90,7 @@
 
 
 def answer(replica: Replica, own: LocalReplica, join: Any, now: float) -> Any:
-    """Return the JoinReply to a host that asks to be taken in."""
+    """Return the JoinReply to a host that requests to join."""
     state = replica.state
     if is_empty(state):
         return messages.JoinReply(JOIN_FRESH, "", *own)
--- a/bitterntiller/components/replication/joiner.py
+++ b/bitterntiller/components/replication/joiner.py
@@ -1,4 +1,4 @@
-"""Asks other hosts to be taken into the membership, and answers them."""
+"""Joins the membership through other hosts, and replies to hosts that join."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -17,10 +17,10 @@
 
 
 class Joiner:
-    """Joining as long as no membership known here has this replica and its address.
+    """Sends join requests until the membership has this replica and its address.
 
-    address_by_replica holds who has answered, so that an empty learner can
-    reply to its leader.
+    address_by_replica holds the replicas that have replied, so that an empty learner
+    can reply to its leader.
     """
 
     def __init__(
@@ -43,14 +43,14 @@
         )
 
     async def async_on_join(self, host: str, message: Any) -> Any:
-        """Answer a host that asks to be taken in."""
+        """Reply to a host that requests to join."""
         now = self._runtime.clock.now()
         reply = join_decisions.answer(self._replica(), self._own(), message, now)
         await self._wake()
         return reply
 
     async def async_run(self) -> None:
-        """Ask until taken in, also after this identity has been given up."""
+        """Join if not a member, also again after this identity has been retired."""
         while True:
             if join_decisions.needs_joining(self._replica().state, self._own().address):
                 await self._async_ask()
@@ -66,7 +66,7 @@
         await self._async_ask_all(
             seeds | self._leaders - {own.address}, request, replies
         )
-        # A leader that is no seed is known only by what the others say of it.
+        # A leader that is not a seed is known only from the replies of other hosts.
         self._leaders = {reply.leader for reply in replies if reply.leader}
         self.address_by_replica = {
             reply.replica: reply.address for reply in replies if reply.replica
--- a/bitterntiller/components/replication/leading.py
+++ b/bitterntiller/components/replication/leading.py
@@ -1,4 +1,4 @@
-"""The leader's side: replication, commitment, confirmed reads, membership."""
+"""Leader's side: replication, commits, confirmed reads, membership changes."""
 
 from collections.abc import Iterable
 
@@ -25,9 +25,9 @@
 
 
 def become_leader(state: State, now: float) -> None:
-    """Become the leader of the term.
+    """Become the leader of the current term.
 
-    The empty entry lets the entries of earlier terms be committed.
+    Entries of earlier terms are committed together with the empty entry appended here.
     """
     state.role = Role.LEADER
     state.leader = state.replica
@@ -42,7 +42,7 @@
 
 
 def propose(state: State, data: bytes) -> LogPosition | None:
-    """Append a command; None when this replica can't take it."""
+    """Append a command; return None if not the leader or too much is uncommitted."""
     if state.role is not Role.LEADER:
         return None
     if state.log.last_index - state.commit >= state.tuning.max_uncommitted:
@@ -52,12 +52,12 @@
 
 
 def may_change_members(state: State) -> bool:
-    """Tell whether a change of the membership may begin now.
+    """Return whether a change of the membership may begin now.
 
-    The last one must be committed, so that only neighbours in the history of
-    memberships are ever in force at once; and an entry of this term must be,
-    since otherwise an uncommitted change of an earlier leader, unknown
-    here, could come back and share no quorum with the new one.
+    The last change must be committed, so that only two successive memberships are
+    ever in effect at once. An entry of this term must be committed too: otherwise an
+    earlier leader's uncommitted change, unknown here, could still take effect and
+    have quorums that don't overlap with those of the new membership.
     """
     if state.role is not Role.LEADER or state.members.index > state.commit:
         return False
@@ -67,7 +67,7 @@
 def change_members(
     state: State, new: Iterable[Member], now: float
 ) -> LogPosition | None:
-    """Append a membership that differs by one voter at most; None if refused."""
+    """Append a membership that differs by at most one voter; None if refused."""
     new = tuple(new)
     if not may_change_members(state) or not is_single_change(state.members, new):
         return None
@@ -92,7 +92,7 @@
 
 
 def request_read_index(state: State, token: int) -> bool:
-    """Ask for a read index; False when this replica doesn't lead."""
+    """Request a confirmed read index; return False if not the leader."""
     if state.role is not Role.LEADER:
         return False
     first = state.log.first_of_term_at(state.log.last_index)
@@ -101,7 +101,7 @@
 
 
 def flush(state: State, now: float) -> None:
-    """Send what has gathered: a round for reads, or new entries."""
+    """Send a heartbeat round if reads wait for one, else new entries."""
     if state.role is not Role.LEADER:
         return
     if state.pending_reads.begin_round():
@@ -113,24 +113,25 @@
 
 
 def on_tick(state: State, now: float) -> None:
-    """Step down without a quorum; send heartbeats when they are due."""
+    """Step down if out of contact with a quorum; send heartbeats when due."""
     if not is_quorum_active(state, now):
         state.become_follower(state.term, "", now)
         return
     if now >= state.next_broadcast:
         state.next_broadcast = now + state.tuning.heartbeat
-        # What was committed a heartbeat ago has had the time to reach all; a
-        # follower that lags by less has caught up, however busy the log is.
+        # Entries committed a heartbeat interval ago have had time to reach all
+        # followers; one that lags by less has caught up, however busy the log is.
         state.caught_up_index = max(state.caught_up_index, state.commit_at_heartbeat)
         state.commit_at_heartbeat = state.commit
         sending.broadcast(state, now)
 
 
 def transfer_leadership(state: State, now: float) -> str:
-    """Send what is missing to the voter with the longest log, then its call to lead.
+    """Send the voter with the longest log its missing entries, then TimeoutNow.
 
-    Return the voter; empty when this replica doesn't lead or hears no other voter.
-    Without it the others wait for an election timeout, in which no lease is renewed.
+    Return the voter; empty if this replica is not the leader or no other voter is in
+    contact. Without a transfer the other voters wait for an election timeout, during
+    which no lease is renewed.
     """
     if state.role is not Role.LEADER:
         return ""
@@ -154,18 +155,18 @@
 
 
 def is_quorum_active(state: State, now: float) -> bool:
-    """Tell whether a quorum has been heard within an election timeout."""
+    """Return whether a quorum has been in contact within an election timeout."""
     oldest = now - state.tuning.election_max
-    heard = [
+    active = [
         replica == state.replica
         or state.progress_by_replica[replica].last_contact > oldest
         for replica in voters(state.members)
     ]
-    return sum(heard) >= quorum(state.members)
+    return sum(active) >= quorum(state.members)
 
 
 def on_append_reply(state: State, message: AppendReply, now: float) -> None:
-    """Note what a follower holds, commit, and go on sending."""
+    """Update the follower's progress and advance the commit index."""
     progress = _record_contact(state, message.follower, message, now)
     if progress is None:
         return
@@ -178,7 +179,7 @@
 
 
 def on_snapshot_reply(state: State, message: SnapshotReply, now: float) -> None:
-    """Send the next piece, or go on with entries after the last."""
+    """Send the next piece, or resume with entries once the snapshot is installed."""
     replica = message.follower
     progress = _record_contact(state, replica, message, now)
     if progress is None or progress.snapshot is None:
@@ -217,16 +218,16 @@
 
 
 def may_commit(state: State, index: int) -> bool:
-    """Tell whether counting replicas may commit an entry.
+    """Return whether an entry may be committed by counting replicas.
 
-    One of an earlier term may be on a quorum and still be replaced by a later
-    leader that lacks it, so only entries of this term are counted.
+    An entry of an earlier term can be on a quorum and still be replaced by a later
+    leader that lacks it, so only entries of the current term are counted.
     """
     return state.log.term_at(index) == state.term
 
 
 def advance_commit(state: State, now: float) -> None:
-    """Commit what a quorum has synced, this replica included."""
+    """Commit the entries that a quorum, including this replica, has synced."""
     if state.role is not Role.LEADER:
         return
     index = _highest_at_quorum(
--- a/bitterntiller/components/replication/log.py
+++ b/bitterntiller/components/replication/log.py
@@ -1,4 +1,4 @@
-"""The entries in memory, behind the newest snapshot."""
+"""In-memory log entries after the newest snapshot."""
 
 from collections.abc import Iterable
 
@@ -6,9 +6,9 @@
 
 
 class Log:
-    """Entries from first to last; what lies before is in the snapshot.
+    """Contiguous log entries; earlier ones are covered by the snapshot.
 
-    base_index and base_term name the entry just before the first one kept.
+    base_index and base_term identify the entry just before the first one kept.
     """
 
     def __init__(self, snapshot: Snapshot | None, entries: Iterable[Entry]) -> None:
@@ -18,16 +18,16 @@
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry."""
+        """Index of the last entry."""
         return self.base_index + len(self._entries)
 
     @property
     def last_term(self) -> int:
-        """The term of the last entry."""
+        """Term of the last entry."""
         return self._entries[-1].term if self._entries else self.base_term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, None when it is not known."""
+        """Return the term of an entry, or None if it is not known."""
         if index == self.base_index:
             return self.base_term
         if not self.base_index < index <= self.last_index:
@@ -35,20 +35,20 @@
         return self._entries[index - self.base_index - 1].term
 
     def append(self, entry: Entry) -> None:
-        """Add the entry that follows the last one."""
+        """Append the entry that follows the last one."""
         self._entries.append(entry)
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entry of that index and all after it."""
+        """Remove the entry at that index and all after it."""
         del self._entries[index - self.base_index - 1 :]
 
     def slice(self, start: int, stop: int) -> tuple[Entry, ...]:
-        """Return the entries from start up to and with stop."""
+        """Return the entries from start to stop, both included."""
         base = self.base_index + 1
         return tuple(self._entries[max(start - base, 0) : max(stop - base + 1, 0)])
 
     def batch(self, start: int, count: int, size: int) -> tuple[Entry, ...]:
-        """Return some entries from start, at least one, of bounded bytes."""
+        """Return entries from start: at most count and size bytes, at least one."""
         taken: list[Entry] = []
         for entry in self.slice(start, start + count - 1):
             size -= len(entry.data)
@@ -58,18 +58,18 @@
         return tuple(taken)
 
     def first_of_term_at(self, index: int) -> int:
-        """Return the first index kept whose term is that of the given entry."""
+        """Return the first index kept that has the same term as the given entry."""
         term = self.term_at(index)
         while index - 1 > self.base_index and self.term_at(index - 1) == term:
             index -= 1
         return index
 
     def newest_of_kind(self, kind: int) -> Entry | None:
-        """Return the last entry of a kind, None when none is kept."""
+        """Return the last entry of a kind, or None if none is kept."""
         return next((e for e in reversed(self._entries) if e.kind == kind), None)
 
     def compact(self, index: int) -> None:
-        """Forget the entries up to and with index."""
+        """Remove the entries up to and including index."""
         term = self.term_at(index)
         if term is None or index <= self.base_index:
             return
@@ -78,7 +78,7 @@
         self.base_term = term
 
     def reset(self, snapshot: Snapshot) -> None:
-        """Begin behind a snapshot; keep what follows it only if it matches."""
+        """Replace the log by a snapshot unless it holds the snapshot's last entry."""
         if self.term_at(snapshot.index) == snapshot.term:
             return
         self._entries = []
--- a/bitterntiller/components/replication/members.py
+++ b/bitterntiller/components/replication/members.py
@@ -1,4 +1,4 @@
-"""The membership: its encoding, quorums, and which changes are allowed."""
+"""Membership: its encoding, its quorum, and which changes are allowed."""
 
 import json
 from collections.abc import Iterable
@@ -9,12 +9,12 @@
 
 
 def encode_members(members: Iterable[Member]) -> bytes:
-    """Return the bytes of an entry of kind MEMBERS."""
+    """Encode members as the data of an entry of kind MEMBERS."""
     return json.dumps([list(member) for member in members]).encode()
 
 
 def decode_members(index: int, data: bytes) -> Membership:
-    """Return the membership that an entry of kind MEMBERS holds."""
+    """Decode the membership in an entry of kind MEMBERS."""
     if not data:
         return EMPTY_MEMBERSHIP
     return Membership(index, tuple(Member(*item) for item in json.loads(data)))
@@ -26,20 +26,20 @@
 
 
 def quorum(members: Membership) -> int:
-    """Return how many voters decide."""
+    """Return the number of voters that form a quorum."""
     return len(voters(members)) // 2 + 1
 
 
 def find(members: Membership, replica: str) -> Member | None:
-    """Return the member with that id."""
+    """Return the member with that replica id, or None."""
     return next((m for m in members.all if m.replica == replica), None)
 
 
 def is_single_change(old: Membership, new: Iterable[Member]) -> bool:
-    """Tell whether the sets of voters differ by at most one replica.
+    """Return whether the sets of voters differ by at most one replica.
 
-    Any quorum of the one then shares a replica with any quorum of the other,
-    so that two leaders can't be elected by the two memberships.
+    Any quorum of one set then overlaps with any quorum of the other, so the two
+    memberships can't elect two leaders.
     """
     after = {member.replica for member in new if member.voter}
     return bool(after) and len(set(voters(old)) ^ after) <= 1
--- a/bitterntiller/components/replication/models.py
+++ b/bitterntiller/components/replication/models.py
@@ -1,7 +1,7 @@
 """Entries, messages, records and effects of the replicated log.
 
-Each message has the term first and the id of the sending replica second, and
-the sender's boot number, which names its start, behind what it tells.
+Each message starts with the term and the id of the sending replica. After its own
+fields comes boot, the number that identifies the sender's current start.
 """
 
 from typing import NamedTuple
@@ -21,7 +21,7 @@
 
 
 class Entry(NamedTuple):
-    """One entry of the log; kind is an EntryKind."""
+    """Log entry; kind is an EntryKind."""
 
     index: int
     term: int
@@ -30,9 +30,9 @@
 
 
 class Member(NamedTuple):
-    """A replica of the membership.
+    """Replica in a membership.
 
-    promote marks a learner that becomes a voter as soon as it has caught up.
+    promote marks a learner that becomes a voter once it has caught up.
     """
 
     replica: str
@@ -43,14 +43,14 @@
 
 
 class Membership(NamedTuple):
-    """The membership that the entry of that index set; index 0 is none."""
+    """Membership set by the entry at that index; index 0 means none."""
 
     index: int
     all: tuple[Member, ...]
 
 
 class Snapshot(NamedTuple):
-    """The state after the entry of that index and term."""
+    """State of the state machine after the entry with that index and term."""
 
     index: int
     term: int
@@ -59,10 +59,10 @@
 
 
 class Mark(NamedTuple):
-    """The furthest promise that a peer is known to have given.
+    """High-water mark of what a peer has acknowledged.
 
-    boot is the number of the start in which it gave it; index is what it has
-    acknowledged to a leader of that term.
+    boot is the newest start recorded for the peer; index is the last entry that it
+    acknowledged to a leader of that term, 0 for a vote alone.
     """
 
     boot: int = 0
@@ -71,7 +71,7 @@
 
 
 class HardState(NamedTuple):
-    """The term, the vote in it, and the boot number of the newest start."""
+    """Current term, the vote in it, and the boot number of the latest start."""
 
     term: int = 0
     vote: str = ""
@@ -79,7 +79,7 @@
 
 
 class PersistentState(NamedTuple):
-    """What a data folder holds at the start."""
+    """State that a data folder holds when the replica starts."""
 
     replica: str
     hard: HardState
@@ -89,7 +89,7 @@
 
 
 class PreVote(NamedTuple):
-    """Asks whether a vote for the sender in that term would be granted."""
+    """Asks whether the receiver would vote for the sender in that term."""
 
     term: int
     candidate: str
@@ -99,7 +99,7 @@
 
 
 class PreVoteReply(NamedTuple):
-    """Answers PreVote; the asked term when granted, else the voter's."""
+    """Reply to PreVote; term is the requested term if granted, else the voter's."""
 
     term: int
     voter: str
@@ -108,7 +108,7 @@
 
 
 class Vote(NamedTuple):
-    """Asks for a vote in that term."""
+    """Requests a vote in that term (RequestVote in the Raft paper)."""
 
     term: int
     candidate: str
@@ -118,7 +118,7 @@
 
 
 class VoteReply(NamedTuple):
-    """Answers Vote."""
+    """Reply to Vote."""
 
     term: int
     voter: str
@@ -127,7 +127,7 @@
 
 
 class TimeoutNow(NamedTuple):
-    """Tells the voter that is to lead next to campaign at once."""
+    """Makes the target of a leadership transfer campaign at once."""
 
     term: int
     leader: str
@@ -135,7 +135,7 @@
 
 
 class Append(NamedTuple):
-    """Entries that follow the one named by prev; without any, a heartbeat."""
+    """Entries after the one at prev_index (AppendEntries); a heartbeat if empty."""
 
     term: int
     leader: str
@@ -148,10 +148,10 @@
 
 
 class AppendReply(NamedTuple):
-    """Answers Append.
+    """Reply to Append.
 
-    match_index is synced when matched; hint_index is where to try next when
-    not. counted is False while the follower may not be part of a quorum.
+    If matched, the log up to match_index is synced; if not, hint_index is the index
+    to probe next. counted is False while the follower must not count in a quorum.
     """
 
     term: int
@@ -165,7 +165,7 @@
 
 
 class SnapshotPiece(NamedTuple):
-    """A part of the state's bytes from that offset."""
+    """Bytes of a snapshot from that offset on (InstallSnapshot in the Raft paper)."""
 
     term: int
     leader: str
@@ -181,7 +181,7 @@
 
 
 class SnapshotReply(NamedTuple):
-    """Tells how many bytes have come; done once the snapshot is synced."""
+    """Reports the bytes received so far; done once the snapshot is synced."""
 
     term: int
     follower: str
@@ -194,9 +194,9 @@
 
 
 class ReturnCheck(NamedTuple):
-    """Asks what a peer remembers of the sender, at each of its starts.
+    """Startup check: asks a peer what it has recorded of the sender.
 
-    address lets a host answer that has lost its disk, and so knows no members.
+    address lets a host reply that has lost its disk and therefore knows no members.
     """
 
     term: int
@@ -208,7 +208,7 @@
 
 
 class ReturnCheckReply(NamedTuple):
-    """Answers ReturnCheck with a VERDICT_ constant and the voter's state."""
+    """Reply to ReturnCheck: a VERDICT_ constant and the voter's state."""
 
     term: int
     voter: str
@@ -237,17 +237,17 @@
 
 
 class Outgoing(NamedTuple):
-    """A message and the id of the replica that it is for."""
+    """Message and the id of the receiving replica."""
 
     to: str
     message: Message
 
 
 class Persist(NamedTuple):
-    """Records that must be synced together, then reported by their number.
+    """Records to sync in one write, whose number is reported back once synced.
 
-    With a snapshot, entries is the whole log behind it and replaces the old
-    one; else truncate_from comes before entries.
+    With a snapshot, entries is the whole log after it and replaces the old log;
+    otherwise truncate_from is applied before entries.
     """
 
     number: int
@@ -259,18 +259,18 @@
 
 
 class ReadOutcome(NamedTuple):
-    """A confirmed read index, or None when leadership was not confirmed."""
+    """Confirmed read index, or None if leadership was not confirmed."""
 
     token: int
     index: int | None
 
 
 class Effects(NamedTuple):
-    """What is to be done now, in this order.
+    """Work for the caller, to be done in this order.
 
-    messages depend on nothing that is unsynced. restore replaces the state
-    before committed entries are applied. retired tells why this identity must
-    not be used any more; then nothing else counts.
+    messages depend on no unsynced record. restore replaces the state before
+    committed entries are applied. retired is the reason why this identity must no
+    longer be used; if set, the other fields are ignored.
     """
 
     persist: Persist | None
@@ -282,19 +282,20 @@
 
 
 class LogPosition(NamedTuple):
-    """Where a proposal stands in the log."""
+    """Position of a proposed entry in the log."""
 
     index: int
     term: int
 
 
 class Tuning(NamedTuple):
-    """Times in seconds, and the bounds of flow control.
+    """Timeouts in seconds, and limits of flow control.
 
-    voters is how many voters the leader makes of the hosts that join, by itself;
-    0 leaves that to commands. A voter that is silent for silent_voter is then
-    replaced by a learner of another host, if one has caught up. first_election is the
-    time between the campaigns of two voters that have met no leader since their start.
+    target_voters is the number of voters up to which the leader promotes hosts that
+    join; 0 leaves promotion to operators' commands. With a target, a voter that is
+    silent for silent_voter_timeout is replaced by a learner of another host that has
+    caught up. first_election_spacing is the time between the campaigns of two voters
+    that have met no leader since their start.
     """
 
     election_min: float = 0.6
--- a/bitterntiller/components/replication/outbox.py
+++ b/bitterntiller/components/replication/outbox.py
@@ -1,4 +1,4 @@
-"""Sending to other replicas, so that a slow one holds up no other."""
+"""Send queues to other replicas, so that a slow one delays no other."""
 
 from collections import deque
 from typing import Any
@@ -9,7 +9,7 @@
 from bitterntiller.core.runtime import Runtime
 
 MAX_QUEUED = 256
-"""Messages kept for a peer; older ones are dropped, which replication allows."""
+"""Messages queued for a peer; the oldest are dropped, which replication tolerates."""
 
 
 class _PeerQueue:
@@ -19,7 +19,7 @@
 
 
 class Outbox:
-    """A queue and a task for each address."""
+    """A send queue and a sending task for each address."""
 
     def __init__(self, runtime: Runtime) -> None:
         self._runtime = runtime
@@ -27,7 +27,7 @@
         self._queues_by_address: dict[str, _PeerQueue] = {}
 
     async def async_put(self, address: str, message: Any) -> None:
-        """Queue a message; it may be lost like any message."""
+        """Queue a message, which may be lost like any message."""
         peer_queue = self._queues_by_address.get(address)
         if peer_queue is None:
             peer_queue = self._queues_by_address[address] = _PeerQueue()
--- a/bitterntiller/components/replication/progress.py
+++ b/bitterntiller/components/replication/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of each follower, and flow control towards it."""
+"""A leader's view of each follower, and flow control towards it."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -8,12 +8,12 @@
 
 @dataclass
 class Progress:
-    """A follower as its leader sees it.
+    """Replication progress of a follower.
 
-    match is the last index known to be synced there. While probing, one
-    message is under way at a time; else up to a bound. contact is the time of
-    the last message that came from it. While a snapshot is sent, no entries
-    are. counted tells whether it may be part of a quorum.
+    match is the last index known to be synced there. While probing, one message is in
+    flight at a time, otherwise several up to a limit; while a snapshot is sent, no
+    entries are. last_contact is the time of the follower's last message. counted is
+    whether it may count in a quorum.
     """
 
     next: int
@@ -28,7 +28,7 @@
     in_flight: deque[int] = field(default_factory=deque)
 
     def may_send(self, limit: int) -> bool:
-        """Tell whether flow control lets entries leave now."""
+        """Return whether flow control allows sending entries now."""
         if self.snapshot:
             return False
         if self.probing:
@@ -36,7 +36,7 @@
         return len(self.in_flight) < limit
 
     def sent(self, last: int) -> None:
-        """Note that entries up to last have left."""
+        """Record that entries up to last have been sent."""
         if self.probing:
             self.waiting = True
             return
@@ -44,7 +44,7 @@
         self.next = last + 1
 
     def acknowledged(self, index: int) -> None:
-        """Note that all entries up to index are synced there."""
+        """Record that all entries up to index are synced there."""
         self.match = max(self.match, index)
         self.next = max(self.next, self.match + 1)
         self.probing = False
@@ -53,18 +53,18 @@
             self.in_flight.popleft()
 
     def rejected(self, hint: int) -> None:
-        """Go back to where the follower says that its log may agree."""
+        """Back up to the index at which the follower's log may match."""
         self.next = max(self.match + 1, min(hint, self.next))
         self.probe()
 
     def probe(self) -> None:
-        """Begin anew with one message at a time."""
+        """Return to probing, with one message in flight."""
         self.probing = True
         self.waiting = False
         self.in_flight.clear()
 
     def begin_snapshot(self, snapshot: Snapshot) -> None:
-        """Send a snapshot from its first byte."""
+        """Start sending a snapshot from its first byte."""
         self.snapshot = snapshot
         self.snapshot_offset = 0
         self.probe()
--- a/bitterntiller/components/replication/read_index.py
+++ b/bitterntiller/components/replication/read_index.py
@@ -1,4 +1,4 @@
-"""Confirmed reads: leadership is proved by a round begun after the question."""
+"""Confirmed reads (ReadIndex): a later heartbeat round proves leadership."""
 
 from typing import NamedTuple
 
@@ -12,42 +12,44 @@
 
 
 class PendingReads:
-    """Questions that wait for a round of heartbeats to be acknowledged.
+    """Read requests that wait for a heartbeat round to be acknowledged.
 
-    A leader that was deposed without knowing it (cut off, frozen) could answer
-    with an old state. A round that began after the question and was answered by
-    a quorum in the same term proves that no later leader had committed
-    anything when the question came.
+    A leader that was deposed without noticing (partitioned, frozen) could return old
+    state. A round that began after the request and was acknowledged by a quorum in
+    the same term proves that no later leader had committed anything when the request
+    arrived.
     """
 
     def __init__(self) -> None:
         self.round = 0
         self._waiting: list[_Read] = []
-        self._asked: list[tuple[int, int]] = []
+        self._new_requests: list[tuple[int, int]] = []
 
     def add_request(self, token: int, index: int) -> None:
-        """Add a question; the next round answers it."""
-        self._asked.append((token, index))
+        """Add a request; the next round confirms it."""
+        self._new_requests.append((token, index))
 
     def begin_round(self) -> bool:
-        """Begin a round if a question waits for one."""
-        if not self._asked:
+        """Begin a round if a request waits for one; return whether one began."""
+        if not self._new_requests:
             return False
         self.round += 1
-        self._waiting += [_Read(t, index, self.round) for t, index in self._asked]
-        self._asked.clear()
+        self._waiting += [
+            _Read(t, index, self.round) for t, index in self._new_requests
+        ]
+        self._new_requests.clear()
         return True
 
     def resolve(self, round_number: int) -> list[ReadOutcome]:
-        """Return the questions that a quorum's round answers."""
+        """Return the requests confirmed by the round that a quorum has reached."""
         done = [read for read in self._waiting if read.round <= round_number]
         self._waiting = [r for r in self._waiting if r.round > round_number]
         return [ReadOutcome(read.token, read.index) for read in done]
 
     def fail(self) -> list[ReadOutcome]:
-        """Return all questions as unanswered."""
+        """Return all requests as not confirmed."""
         tokens = [read.token for read in self._waiting]
-        tokens += [token for token, _ in self._asked]
+        tokens += [token for token, _ in self._new_requests]
         self._waiting.clear()
-        self._asked.clear()
+        self._new_requests.clear()
         return [ReadOutcome(token, None) for token in tokens]
--- a/bitterntiller/components/replication/records.py
+++ b/bitterntiller/components/replication/records.py
@@ -1,4 +1,4 @@
-"""The records of one synced write: their bytes, and replaying them."""
+"""Records of one synced write: their encoding, and replaying them."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 
 def encode_batch(persist: Persist) -> bytes:
-    """Return the bytes of all records but the snapshot."""
+    """Encode all records except the snapshot."""
     hard, marks = persist.hard, persist.marks_by_replica
     batch = messages.LogBatch(
         term=hard.term if hard else None,
@@ -25,7 +25,7 @@
 
 
 def decode_batch(data: bytes) -> Persist:
-    """Return the records; raise MalformedMessageError for other bytes."""
+    """Decode records; raise MalformedMessageError if data is malformed."""
     batch = decode(messages.LogBatch, data)
     hard = None
     if batch.term is not None:
@@ -38,7 +38,7 @@
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """Return the bytes of a snapshot."""
+    """Encode a snapshot."""
     members = snapshot.members
     return encode(
         messages.SnapshotFile(
@@ -52,19 +52,19 @@
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """Return the snapshot; raise MalformedMessageError for other bytes."""
+    """Decode a snapshot; raise MalformedMessageError if data is malformed."""
     file = decode(messages.SnapshotFile, data)
     members = decode_members(file.members_index, file.members)
     return Snapshot(file.index, file.term, members, file.data)
 
 
 def entries_to_wire(entries: tuple[Entry, ...]) -> list[Any]:
-    """Return entries as Thrift structures."""
+    """Convert entries to Thrift structures."""
     return [messages.Entry(*entry) for entry in entries]
 
 
 def entries_from_wire(entries: list[Any]) -> tuple[Entry, ...]:
-    """Return Thrift structures as entries."""
+    """Convert Thrift structures to entries."""
     return tuple(Entry(e.index, e.term, e.kind, e.data) for e in entries)
 
 
@@ -73,7 +73,7 @@
 
 
 class Replay:
-    """What a data folder holds after the writes applied so far."""
+    """State of a data folder after the writes replayed so far."""
 
     def __init__(self, start: PersistentState) -> None:
         self._replica = start.replica
@@ -83,7 +83,7 @@
         self._entries = list(start.entries)
 
     def apply(self, persist: Persist) -> None:
-        """Apply the records of one write in their order."""
+        """Apply the records of one write in order."""
         if persist.hard is not None:
             self._hard = persist.hard
         if persist.marks_by_replica is not None:
@@ -100,20 +100,20 @@
             del self._entries[max(index - self._entries[0].index, 0) :]
 
     def restored(self) -> PersistentState:
-        """Return the outcome, with the entries behind the snapshot only."""
+        """Return the resulting state, with only the entries after the snapshot."""
         snapshot, entries = self._snapshot, self._entries
         if snapshot is not None:
-            entries = _behind(snapshot, entries)
+            entries = _after_snapshot(snapshot, entries)
         return PersistentState(
             self._replica, self._hard, dict(self._marks), snapshot, tuple(entries)
         )
 
 
-def _behind(snapshot: Snapshot, entries: list[Entry]) -> list[Entry]:
-    """Return the entries that continue the snapshot.
+def _after_snapshot(snapshot: Snapshot, entries: list[Entry]) -> list[Entry]:
+    """Return the entries that follow the snapshot.
 
-    After a crash between the writing of a snapshot and of the new log, the old
-    log may hold entries that contradict the snapshot; those are uncommitted.
+    After a crash between writing a snapshot and writing the new log, the old log may
+    hold entries that conflict with the snapshot; these are uncommitted.
     """
     if entries and entries[0].index == snapshot.index + 1:
         return entries
--- a/bitterntiller/components/replication/repair_decisions.py
+++ b/bitterntiller/components/replication/repair_decisions.py
@@ -1,11 +1,11 @@
-"""What a leader does by itself to restore the number of sound voters.
-
-A learner on the host of a silent voter proves that the old disk is no longer in
-use, so the old identity is replaced without a command. Silence alone proves
-nothing: a host behind a cut may come back, so replacing it by another host
-takes an operator's command, or a deployment that sets the number of voters. There
-hosts are replaced by others at new addresses without anybody's command; a host
-that comes back from behind a cut finds itself removed and joins as a learner.
+"""Membership changes by which a leader restores the number of healthy voters.
+
+A learner on the host of a silent voter proves that the old disk is no longer in use,
+so the old identity is replaced without a command. Silence alone proves nothing: a
+partitioned host may reconnect. Replacing it by another host therefore takes an
+operator's command, or a deployment that sets the number of voters. In such a
+deployment hosts are replaced by others at new addresses without a command; a host
+that reconnects after a partition finds itself removed and joins as a learner.
 """
 
 from typing import NamedTuple
@@ -17,9 +17,9 @@
 
 
 class RepairCommand(NamedTuple):
-    """An operator's command: a voter to remove and the host that takes its place.
+    """Operator's command: a voter to remove and the host that replaces it.
 
-    remove is a host or the id of a replica; either may be empty.
+    remove is a host or a replica id; either field may be empty.
     """
 
     remove: str
@@ -27,14 +27,14 @@
 
 
 class RepairStatus(NamedTuple):
-    """status is a REPAIR_ constant, text says what is being waited for."""
+    """Progress of a repair: a REPAIR_ constant and a text on what it waits for."""
 
     status: str
     text: str
 
 
 def is_healthy(state: State, replica: str, now: float) -> bool:
-    """Tell whether a replica answers and has caught up."""
+    """Return whether a replica responds and has caught up."""
     if replica == state.replica:
         return True
     progress = state.progress_by_replica.get(replica)
@@ -45,7 +45,7 @@
 
 
 def failure_tolerance(state: State, now: float) -> int | None:
-    """Return how many more voters may be lost now; None if not the leader."""
+    """Return how many more voters may fail now; None if not the leader."""
     if state.role is not Role.LEADER:
         return None
     sound = [v for v in voters(state.members) if is_healthy(state, v, now)]
@@ -53,7 +53,7 @@
 
 
 def is_silent(state: State, replica: str, now: float) -> bool:
-    """Tell whether nothing has come from a replica for an election timeout."""
+    """Return whether a replica has sent nothing for an election timeout."""
     progress = state.progress_by_replica.get(replica)
     return bool(progress) and progress.last_contact <= now - state.tuning.election_max
 
@@ -61,9 +61,10 @@
 def with_learner(
     members: Membership, replica: str, host: str, address: str
 ) -> tuple[Member, ...] | None:
-    """Return the membership with a learner more; None when there is no room.
+    """Return the members with an additional learner; None if there are too many.
 
-    An earlier learner of that host has lost its disk and is dropped.
+    An earlier learner on the same host has lost its disk and is removed. If the
+    replica is a member already, only its address changes.
     """
     kept = tuple(
         member
@@ -81,7 +82,7 @@
 def next_membership(
     state: State, commands: list[RepairCommand], now: float
 ) -> tuple[Member, ...] | None:
-    """Return the next membership, None when nothing is to be changed now."""
+    """Return the members after the next change, None if no change is due."""
     for learner in state.members.all:
         if learner.voter or not is_healthy(state, learner.replica, now):
             continue
@@ -106,8 +107,8 @@
         return None if lost is None else _without_voter(state, lost, learner, now)
     target = _voter_to_remove(state, command, now)
     if target is None and _has_voter(state, learner.host):
-        # The old identity of this host is not yet known to be silent. Made a voter
-        # beside it, the new one would leave it a voter that nobody removes.
+        # The host's old identity is not known to be silent yet. If its new identity
+        # became a voter now, no later step would remove the old voter.
         return None
     if target is None:
         return _with_member(state.members, learner._replace(promote=True))
@@ -125,7 +126,7 @@
 
 
 def _longest_silent_voter(state: State, now: float) -> Member | None:
-    """Return the voter that has been silent for longest, if that is long enough."""
+    """Return the voter silent for longest, if beyond silent_voter_timeout."""
     oldest = now - state.tuning.silent_voter_timeout
     silent = {
         member: state.progress_by_replica[member.replica].last_contact
@@ -159,7 +160,10 @@
 def _without_voter(
     state: State, dead: Member, learner: Member | None, now: float
 ) -> tuple[Member, ...] | None:
-    """Drop a voter, if those that are left can still decide."""
+    """Return the members without a voter, and with the learner marked to be promoted.
+
+    Return None if the remaining healthy voters are no quorum.
+    """
     kept = tuple(m for m in state.members.all if m != dead)
     if learner is not None:
         kept = _with_member(Membership(0, kept), learner._replace(promote=True))
@@ -173,7 +177,7 @@
 
 
 def repair_status(state: State, command: RepairCommand, now: float) -> RepairStatus:
-    """Tell how far a repair is; done only when full redundancy is back."""
+    """Return the progress of a repair; done only once full redundancy is restored."""
     if not command.remove and not command.add:
         return RepairStatus(REPAIR_REFUSED, "neither a replica to remove nor a host")
     target = _voter_to_remove(state, command, now)
--- a/bitterntiller/components/replication/repairer.py
+++ b/bitterntiller/components/replication/repairer.py
@@ -1,4 +1,4 @@
-"""Carries the leader's repair of its members forward, command by command."""
+"""Repairs the membership on the leader, by operators' commands and by itself."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, Protocol
@@ -14,20 +14,20 @@
 
 
 class Leadership(Protocol):
-    """Tells who leads, as far as this replica knows."""
+    """Who is the leader, as far as this replica knows."""
 
     def is_leader(self) -> bool:
-        """Tell whether this replica leads."""
+        """Return whether this replica is the leader."""
 
     def leader(self) -> str:
-        """Return the internal address of the leader, empty when not known."""
+        """Return the internal address of the leader, empty if unknown."""
 
 
 class Repairer:
-    """The commands of operators for other members, and the steps towards them.
+    """Pending repair commands of operators, and the membership changes for them.
 
-    replica is called for the present one, wake to have its effects carried out;
-    detection_time is the time in seconds after which a loss shows.
+    replica returns the current replica, wake triggers the execution of its effects;
+    detection_time is the time in seconds after which the loss of a replica is noticed.
     """
 
     def __init__(
@@ -46,11 +46,11 @@
         self._began_by_command: dict[repair_decisions.RepairCommand, float] = {}
 
     def clear_commands(self) -> None:
-        """Drop all commands, since another replica leads."""
+        """Discard all commands, as this replica is no longer the leader."""
         self._began_by_command.clear()
 
     async def async_on_repair(self, host: str, message: Any) -> Any:
-        """Answer a messages.Repair."""
+        """Reply to a messages.Repair with the progress of the repair."""
         if not self._log.is_leader():
             return messages.RepairReply(STATUS_NOT_LEADER, "", self._log.leader())
         command = repair_decisions.RepairCommand(message.remove, message.add)
@@ -67,10 +67,10 @@
     def _delay_done(
         self, found: repair_decisions.RepairStatus, waited: float
     ) -> repair_decisions.RepairStatus:
-        """Hold "done" back until a loss just before the command would show.
+        """Delay "done" until a loss just before the command would be noticed.
 
-        A replica that has died a moment ago still counts as heard; without the
-        wait a repair of it would be reported done before it began.
+        A replica that failed a moment ago still counts as healthy; without the delay
+        its repair would be reported as done before it began.
         """
         if found.status != REPAIR_DONE or waited > self._detection_time:
             return found
@@ -79,7 +79,7 @@
         )
 
     def step(self, now: float) -> None:
-        """Change the members by one step, when one is due."""
+        """Make the next membership change, if one is due."""
         state = self._replica().state
         if state.role is not Role.LEADER or state.members.index > state.commit:
             return
--- a/bitterntiller/components/replication/sending.py
+++ b/bitterntiller/components/replication/sending.py
@@ -1,4 +1,4 @@
-"""What a leader sends to its followers: entries, heartbeats, snapshots."""
+"""Messages from a leader to its followers: entries, heartbeats and snapshots."""
 
 from .members import encode_members
 from .models import Append, Entry, SnapshotPiece
@@ -6,7 +6,7 @@
 
 
 def broadcast(state: State, now: float) -> None:
-    """Send each follower something, entries if flow control lets them."""
+    """Send each follower entries if flow control allows, else a heartbeat."""
     for replica, progress in state.progress_by_replica.items():
         progress.waiting = False
         if not replicate(state, replica, now):
@@ -14,7 +14,7 @@
 
 
 def replicate(state: State, replica: str, now: float) -> bool:
-    """Send entries as far as flow control lets; tell whether any left."""
+    """Send entries as far as flow control allows; return whether any were sent."""
     tuning, progress, sent = state.tuning, state.progress_by_replica[replica], False
     if progress.last_contact < now - tuning.election_max:
         return False
@@ -67,7 +67,7 @@
 
 
 def send_piece(state: State, replica: str) -> None:
-    """Send the next piece of the snapshot that the follower is being sent."""
+    """Send the next piece of the follower's snapshot."""
     progress = state.progress_by_replica[replica]
     snapshot, offset = progress.snapshot, progress.snapshot_offset
     if snapshot is None:
--- a/bitterntiller/components/replication/startup_check.py
+++ b/bitterntiller/components/replication/startup_check.py
@@ -1,4 +1,4 @@
-"""The questions that a replica asks of its peers at each start."""
+"""Startup check: each starting replica asks its peers what they recorded of it."""
 
 from . import identity
 from .const import NO_VOTE, VERDICT_FINE, VOTE_BARRED
@@ -8,14 +8,14 @@
 from .state import Role, State
 
 NEVER_REMOVED = 2**62
-"""Stands for the index of a membership that is newer than any."""
+"""Index of a membership newer than any, so that no peer reports a removal."""
 
 
 def on_tick(state: State, now: float) -> None:
-    """Ask the other voters, and again when no leader shows up for long.
+    """Query the other voters, and repeat the check after a long time without a leader.
 
-    Asking again also lowers the floor when the peer with the furthest log has
-    been lost since, which would otherwise keep the rest from electing.
+    Repeating it also lowers vote_floor if the peer with the furthest log has been
+    lost since, which would otherwise keep the others from electing a leader.
     """
     if state.startup_check.done:
         leaderless = now - max(
@@ -23,7 +23,7 @@
         )
         if state.role is Role.LEADER or leaderless < state.tuning.leaderless_timeout:
             return
-        # A candidate gives up, since it might else lead without being counted.
+        # A candidate gives up; it could otherwise lead while it must not be counted.
         state.role = Role.FOLLOWER
         state.startup_check = StartupCheck(now)
     if now >= state.next_broadcast:
@@ -40,8 +40,8 @@
 
 
 def _check_message(state: State) -> ReturnCheck:
-    # A replica that has not yet met itself in a membership, having just joined,
-    # can't have been removed since.
+    # A replica that has just joined and is not yet in its own membership can't have
+    # been removed from it.
     own = find(state.members, state.replica)
     return ReturnCheck(
         state.term,
@@ -61,8 +61,8 @@
         return
     partial = bool(startup_check.unanswered_voters(state.replica, members))
     highest = startup_check.complete()
-    # A forgotten vote was cast for a candidate of some term up to the highest
-    # that the peers know; barring the vote there keeps it from being cast twice.
+    # A forgotten vote was cast in some term up to the highest that the peers know;
+    # barring the vote up to there prevents a second one in the same term.
     if highest > state.term:
         state.set_term(highest, VOTE_BARRED)
     elif state.hard.vote == NO_VOTE and (partial or highest == state.term):
@@ -72,9 +72,9 @@
 
 
 def on_check(state: State, message: ReturnCheck) -> None:
-    """Tell a starting replica what is remembered of it.
+    """Reply to a starting replica with the verdict on its identity.
 
-    The reply leaves only after its boot number is synced here.
+    The reply is sent only after the replica's boot number is synced here.
     """
     replica = message.replica
     mark = state.marks_by_replica.get(replica, Mark())
@@ -98,10 +98,10 @@
 
 
 def _check_started_voter(state: State, replica: str) -> None:
-    """Ask a voter that has just started at once, as it can answer from now on.
+    """Query a voter that has just started at once, since it can reply from now on.
 
-    Replicas that are started together would otherwise wait for the next round of
-    questions, which the last one of them has missed by its start.
+    Replicas that start together would otherwise wait for the next round of checks,
+    as the last one of them had not started at the previous round.
     """
     startup_check = state.startup_check
     members = startup_check.newest_membership(state.members)
@@ -112,10 +112,10 @@
 
 
 def reset_progress(state: State, replica: str) -> None:
-    """Forget as a leader what a follower held, until it has answered anew.
+    """Reset a follower's progress on the leader until the follower replies again.
 
-    A folder that went back in time holds less than was acknowledged. Were the
-    index kept, the leader would offer only later entries for ever.
+    A folder replaced by an older copy holds less than was acknowledged. If the leader
+    kept the match index, it would only ever send later entries.
     """
     progress = state.progress_by_replica.get(replica)
     if progress is None:
@@ -127,7 +127,7 @@
 
 
 def on_check_reply(state: State, message: ReturnCheckReply, now: float) -> None:
-    """Note an answer; a verdict against this identity ends its use."""
+    """Record a reply; retire this identity if the verdict is against it."""
     if message.asked_boot != state.hard.boot:
         return
     if message.verdict != VERDICT_FINE:
--- a/bitterntiller/components/replication/state.py
+++ b/bitterntiller/components/replication/state.py
@@ -1,4 +1,4 @@
-"""The state of a replica, and the order of its records and messages."""
+"""State of a replica, and the order of its writes and messages."""
 
 import random
 from enum import StrEnum
@@ -28,7 +28,7 @@
 
 
 class Role(StrEnum):
-    """What a replica does in its term."""
+    """Role of a replica in its term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -37,11 +37,12 @@
 
 
 class State:
-    """All that a replica knows.
+    """State of a replica.
 
-    The order of syncing is kept here and nowhere else: a message that is held
-    leaves only after every record that was made before it has been
-    reported as persisted. A crash then loses no promise that a peer has heard.
+    Only this class orders messages after writes: a message passed to
+    send_after_sync() leaves only after every record made before it has been reported
+    as persisted. A crash therefore loses no vote or acknowledgement that a peer has
+    received.
     """
 
     def __init__(
@@ -93,27 +94,28 @@
 
     @property
     def term(self) -> int:
-        """The term that this replica is in."""
+        """Current term."""
         return self.hard.term
 
     def count(self, name: str) -> None:
-        """Add one to a counter for the dump."""
+        """Increment a counter of the state dump."""
         self.counters[name] = self.counters.get(name, 0) + 1
 
     def reset_election_timer(self, now: float) -> None:
-        """Put off the next election by a random time."""
+        """Restart the election timeout with a random duration."""
         tuning = self.tuning
         self.election_deadline = now + self.rng.uniform(
             tuning.election_min, tuning.election_max
         )
 
     def start_first_election_timer(self, now: float) -> None:
-        """Have the next election soon, if no leader was heard since the start.
+        """Schedule the first election soon if no leader has been met since the start.
 
-        Voters that have all been started anew know that none of them leads; waiting for
-        one would add an election timeout to the time in which control is down. Each
-        begins at its place among the voters, so that two seldom ask at once. A living
-        leader loses nothing: who hears it refuses the pre-vote.
+        Voters that have all restarted know that none of them leads; waiting for a
+        leader would add an election timeout to the time in which control is down.
+        Their campaigns are staggered by their order among the voters, so that two
+        rarely coincide. An existing leader is not deposed: voters in contact with it
+        refuse the pre-vote.
         """
         if self.has_met_leader:
             self.reset_election_timer(now)
@@ -124,10 +126,10 @@
         self.election_deadline = now + pause
 
     def start_retry_timer(self, now: float) -> None:
-        """Let time pass until this replica tries again to be elected.
+        """Schedule the next attempt to be elected.
 
-        At a start that is not long, as the others may not yet have answered each other,
-        and refuse a pre-vote until then.
+        The delay is short until a leader has been met: shortly after a start the
+        others may not have completed their startup checks, and refuse pre-votes.
         """
         if self.has_met_leader:
             self.reset_election_timer(now)
@@ -137,16 +139,16 @@
         self.election_deadline = now + self.rng.uniform(pause, 2 * pause)
 
     def is_voter(self) -> bool:
-        """Tell whether this replica votes in the newest membership it knows."""
+        """Return whether this replica is a voter in its newest membership."""
         return self.replica in voters(self.members)
 
     def set_term(self, term: int, vote: str = NO_VOTE) -> None:
-        """Enter a term, or note a vote in it; to be synced."""
+        """Set the term and the vote in it; both are synced with the next write."""
         self.hard = self.hard._replace(term=term, vote=vote)
         self._hard_dirty = True
 
     def become_follower(self, term: int, leader: str, now: float) -> None:
-        """Become a follower, in a higher term if need be."""
+        """Become a follower, entering the term if it is higher."""
         if term > self.term:
             self.set_term(term)
         if self.role is Role.LEADER:
@@ -159,19 +161,19 @@
         self.leader = leader
 
     def record_mark(self, replica: str, mark: Mark, due: bool = False) -> None:
-        """Remember what a peer has promised; synced at once only when due."""
+        """Record what a peer has acknowledged; if due, start a write for it."""
         self.marks_by_replica[replica] = mark
         self._marks_dirty = True
         self._marks_due = self._marks_due or due
 
     def append(self, entry: Entry) -> None:
-        """Add an entry at the end of the log."""
+        """Append an entry to the log; a membership takes effect at once."""
         self.log.append(entry)
         if entry.kind == EntryKind.MEMBERS:
             self.members = decode_members(entry.index, entry.data)
 
     def truncate_from(self, index: int) -> None:
-        """Drop entries that another leader has replaced."""
+        """Remove entries that conflict with another leader's log."""
         self.log.truncate_from(index)
         self.stable = min(self.stable, index - 1)
         self._pending_last = min(self._pending_last, index - 1)
@@ -182,14 +184,14 @@
             self.members = self.members_at(index - 1)
 
     def members_at(self, index: int) -> Membership:
-        """Return the membership as it was after the entry of that index."""
+        """Return the membership in effect after the entry at that index."""
         for entry in reversed(self.log.slice(self.log.base_index + 1, index)):
             if entry.kind == EntryKind.MEMBERS:
                 return decode_members(entry.index, entry.data)
         return self.snapshot.members if self.snapshot else EMPTY_MEMBERSHIP
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replace the state and the log up to it by a leader's snapshot."""
+        """Replace the state, and the log up to it, with a leader's snapshot."""
         self.log.reset(snapshot)
         self.snapshot = snapshot
         self.commit = snapshot.index
@@ -202,7 +204,7 @@
         self.count("snapshots_installed")
 
     def snapshot_taken(self, index: int, data: bytes) -> None:
-        """Keep the state after an applied entry, and shorten the log."""
+        """Store a snapshot of the state after an applied entry and compact the log."""
         term = self.log.term_at(index)
         if term is None or (self.snapshot and index <= self.snapshot.index):
             return
@@ -212,20 +214,20 @@
         self.count("snapshots_taken")
 
     def send_after_sync(self, to: str, message: Message) -> None:
-        """Send once all records made so far are synced."""
+        """Send a message once all records made so far are synced."""
         self._held.append(Outgoing(to, message))
 
     def send(self, to: str, message: Message) -> None:
-        """Send a leader's entries, which need no sync of its log.
+        """Send a leader's entries without waiting for its own log to be synced.
 
-        They do need that of its term: a leader that forgot its term could send
-        other entries in the same one.
+        Its term must be synced: a leader that forgot its term could send different
+        entries in the same term.
         """
         unsynced = self._hard_dirty or (self._pending and self._pending.hard)
         (self._held if unsynced else self._ready).append(Outgoing(to, message))
 
     def take_effects(self) -> Effects:
-        """Return what is to be done now; one write is under way at a time."""
+        """Return the effects that are due; at most one write is in progress."""
         persist = None if self._pending else self._next_persist()
         if persist:
             self._awaiting, self._held = self._held, []
@@ -239,8 +241,8 @@
         return Effects(persist, messages, restore, committed, reads, self.retired)
 
     def _next_committed(self) -> tuple[Entry, ...]:
-        # Only what is synced here too is applied, so that a snapshot of the
-        # state never runs ahead of this replica's own log.
+        # Apply only entries that are synced here too, so that a snapshot of the
+        # state is never ahead of this replica's own log.
         stop = min(self.commit, self.stable, self.delivered + MAX_APPLY_BATCH)
         committed = self.log.slice(self.delivered + 1, stop)
         self.delivered = max(self.delivered, stop)
@@ -270,7 +272,7 @@
         return self._pending
 
     def persisted(self, number: int) -> None:
-        """Note that a write is synced; what waited for it may leave."""
+        """Mark a write as synced and release the messages that waited for it."""
         if self._pending is None or self._pending.number != number:
             return
         self._pending = None
@@ -280,5 +282,5 @@
 
 
 def initial_persistent_state(replica: str) -> PersistentState:
-    """Return what a new data folder holds."""
+    """Return the state of a new data folder."""
     return PersistentState(replica, HardState(), {}, None, ())
--- a/bitterntiller/components/replication/storage.py
+++ b/bitterntiller/components/replication/storage.py
@@ -1,9 +1,9 @@
-"""The data folder of a replica.
+"""Data folder of a replica.
 
-It holds identity (the replica's id), one log-N (a first frame with the whole
-state, then a frame for each write) and one snapshot-INDEX. A new log or snapshot
-is written under another name, synced, renamed, and the folder synced; the old
-one is dropped after that. These calls block and are run in a thread.
+It holds identity (the replica id), one log-N (a first frame with the whole state, then
+one frame per write) and one snapshot-INDEX. A new log or snapshot is written under a
+temporary name, synced and renamed, then the folder is synced and the old file removed.
+These calls block and are run in a thread.
 """
 
 import errno
@@ -43,7 +43,7 @@
 
 
 class Storage:
-    """An open data folder, locked against other processes."""
+    """Open data folder, locked against other processes."""
 
     def __init__(self, folder: Path, host: str) -> None:
         self._folder = folder
@@ -61,7 +61,7 @@
             raise
 
     def _open(self) -> PersistentState:
-        self._drop_temporary()
+        self._remove_temporary()
         replica = self._read_identity()
         if replica is None or replica.rpartition("/")[0] != self._host:
             self._move_aside()
@@ -69,12 +69,12 @@
         return self._load(replica)
 
     def write(self, persist: Persist) -> None:
-        """Write and sync records; raise StorageFailedError when that fails.
+        """Write and sync records; raise StorageFailedError if that fails.
 
-        Raise StorageFullError when there was no room: all is as it was before, since
-        the bytes that found room are taken back and nothing was synced. After a failed
-        sync the kernel may have dropped what was not written and report success to the
-        next sync, so any other failure is final.
+        Raise StorageFullError if the disk is full. The stored state is then unchanged:
+        the partial write is truncated and nothing was synced. Any other failure is
+        final, since after a failed sync the kernel may have dropped the unwritten data
+        and report success for the next sync.
         """
         if self._failed:
             raise StorageFailedError(self._failed)
@@ -90,7 +90,7 @@
         if persist.snapshot is not None:
             self._write_snapshot(persist.snapshot)
             self._begin_log(persist.snapshot.index, persist)
-            self._drop_old(persist.snapshot.index)
+            self._remove_obsolete(persist.snapshot.index)
             return
         _write_all(
             self._log_fd, frames.encode_frame(self._header, encode_batch(persist))
@@ -98,7 +98,7 @@
         os.fdatasync(self._log_fd)
 
     def retire(self) -> None:
-        """Give up this identity; set the files aside and begin a new one."""
+        """Retire this identity: move its files aside and create a new identity."""
         os.close(self._log_fd)
         self._log_fd = -1
         self._move_aside()
@@ -115,7 +115,7 @@
         restored = PersistentState(replica, HardState(), {}, None, ())
         self._begin_log(0, Persist(0, HardState(), {}, None, (), None))
         text = json.dumps({"replica": replica, "crc": zlib.crc32(replica.encode())})
-        # The identity comes last: a folder without one was never used.
+        # The identity is written last: a folder without one was never used.
         self._write_file(_IDENTITY, text.encode())
         return restored
 
@@ -153,7 +153,7 @@
         if sound < len(data):
             os.ftruncate(self._log_fd, sound)
             os.fsync(self._log_fd)
-        self._drop_old(snapshot.index if snapshot else 0)
+        self._remove_obsolete(snapshot.index if snapshot else 0)
         return replay.restored()
 
     def _load_snapshot(self) -> Snapshot | None:
@@ -187,7 +187,7 @@
         self._header = header
 
     def _write_file(self, name: str, data: bytes) -> Path:
-        """Write a file that is there whole or not at all after a crash."""
+        """Write a file atomically: after a crash it is complete or absent."""
         temporary = self._folder / (name + _TEMPORARY)
         fd = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         try:
@@ -197,8 +197,8 @@
             os.close(fd)
         path = self._folder / name
         os.rename(temporary, path)
-        # Without this sync a power loss could take the new name back although
-        # what depends on it has been acknowledged.
+        # Without this sync a power loss could undo the rename although data that
+        # depends on it has been acknowledged.
         _sync_folder(self._folder)
         return path
 
@@ -206,7 +206,7 @@
         matches = ((pattern.fullmatch(p.name), p) for p in self._folder.iterdir())
         return [(int(match[1]), path) for match, path in matches if match]
 
-    def _drop_old(self, snapshot_index: int) -> None:
+    def _remove_obsolete(self, snapshot_index: int) -> None:
         for number, path in self._numbered(_LOG):
             if number < self._log_number:
                 path.unlink()
@@ -214,12 +214,12 @@
             if number < snapshot_index:
                 path.unlink()
 
-    def _drop_temporary(self) -> None:
+    def _remove_temporary(self) -> None:
         for path in self._folder.glob("*" + _TEMPORARY):
             path.unlink()
 
     def _move_aside(self) -> None:
-        """Keep the files of an identity that is given up, out of use."""
+        """Move the files of a retired identity into an aside-N subfolder."""
         found = self._numbered(_LOG) + self._numbered(_SNAPSHOT)
         identity = self._folder / _IDENTITY
         if not found and not identity.exists():
@@ -227,7 +227,7 @@
         number = max((n for n, _ in self._numbered(_ASIDE)), default=0) + 1
         aside = self._folder / f"aside-{number}"
         aside.mkdir()
-        # The identity goes first: without it the rest is never used again.
+        # The identity is moved first: without it the other files are never used again.
         if identity.exists():
             identity.rename(aside / _IDENTITY)
             _sync_folder(self._folder)
@@ -254,11 +254,11 @@
 
 
 class _DiskFullError(Exception):
-    """A write found no room; the file is as long as it was before."""
+    """The disk is full; the file has its previous length again."""
 
 
 def _write_all(fd: int, data: bytes) -> None:
-    """Append to a file; raise _NoRoomError on a full disk."""
+    """Append to a file; raise _DiskFullError if the disk is full."""
     before = os.fstat(fd).st_size
     view = memoryview(data)
     try:
--- a/bitterntiller/components/replication/waiters.py
+++ b/bitterntiller/components/replication/waiters.py
@@ -1,4 +1,4 @@
-"""Callers that wait for a proposal or a confirmed read."""
+"""Callers that wait for the outcome of a proposal or a confirmed read."""
 
 import curio
 
@@ -9,7 +9,7 @@
 
 
 class PendingProposal:
-    """A command in the log whose fate is awaited."""
+    """Proposed command whose outcome a caller waits for."""
 
     def __init__(self, term: int) -> None:
         self.term = term
@@ -18,7 +18,7 @@
 
 
 class PendingRead:
-    """A question for a confirmed index; index is None when it failed."""
+    """Request for a confirmed read index; index is None if it failed."""
 
     def __init__(self) -> None:
         self.done = curio.Event()
@@ -26,7 +26,7 @@
 
 
 class Waiters:
-    """All who wait, by index or token."""
+    """Waiting callers, by log index or token."""
 
     def __init__(self) -> None:
         self._proposals_by_index: dict[int, PendingProposal] = {}
@@ -35,28 +35,28 @@
         self._last_token = 0
 
     def add_proposal(self, position: LogPosition) -> PendingProposal:
-        """Wait for what becomes of an entry."""
+        """Register a caller that waits for the outcome of an entry."""
         proposal = PendingProposal(position.term)
         self._proposals_by_index[position.index] = proposal
         return proposal
 
     def drop_proposal(self, position: LogPosition, proposal: PendingProposal) -> None:
-        """Stop waiting for an entry."""
+        """Remove a caller that waits for an entry."""
         if self._proposals_by_index.get(position.index) is proposal:
             del self._proposals_by_index[position.index]
 
     def new_token(self) -> int:
-        """Return a token for a new question."""
+        """Return a token for a new read."""
         self._last_token += 1
         return self._last_token
 
     def add_read(self, token: int) -> PendingRead:
-        """Wait for the answer to a question."""
+        """Register a caller that waits for a read."""
         self._reads_by_token[token] = PendingRead()
         return self._reads_by_token[token]
 
     def drop_read(self, token: int, read: PendingRead) -> None:
-        """Stop waiting for an answer."""
+        """Remove a caller that waits for a read."""
         self._reads_by_token.pop(token, None)
         if read in self._unapplied:
             self._unapplied.remove(read)
@@ -64,18 +64,18 @@
     async def async_resolve_proposal(
         self, index: int, term: int, result: bytes
     ) -> None:
-        """Tell who proposed an entry that it is applied."""
+        """Resolve the proposal at an index once its entry is applied."""
         proposal = self._proposals_by_index.pop(index, None)
         if proposal is None:
             return
-        # Another leader's entry took the place; the command may still be sent
-        # again by its caller, so nothing more than "unknown" is claimed.
+        # If another leader's entry is at this index, the outcome is "unknown", not a
+        # failure: the caller may send the command again.
         status = STATUS_COMMITTED if proposal.term == term else STATUS_UNKNOWN
         proposal.result = ProposalResult(status, result, "")
         await proposal.done.set()
 
     async def async_resolve_read(self, outcome: ReadOutcome, applied: int) -> None:
-        """Take the answer to a question; it counts once its index is applied."""
+        """Resolve a read once its index is applied, at once if it failed."""
         read = self._reads_by_token.pop(outcome.token, None)
         if read is None:
             return
@@ -86,13 +86,13 @@
         await read.done.set()
 
     async def async_notify_applied(self, applied: int) -> None:
-        """Tell those whose read index is applied now."""
+        """Resolve the reads whose index is applied now."""
         for read in [r for r in self._unapplied if (r.index or 0) <= applied]:
             self._unapplied.remove(read)
             await read.done.set()
 
     async def async_fail_all(self) -> None:
-        """Tell all that wait that the outcome is not known."""
+        """Resolve all proposals and reads with an unknown outcome."""
         proposals = list(self._proposals_by_index.values())
         reads = [*self._reads_by_token.values(), *self._unapplied]
         self._proposals_by_index.clear()
--- a/bitterntiller/components/replication/wire.py
+++ b/bitterntiller/components/replication/wire.py
@@ -1,4 +1,4 @@
-"""The messages of replicas as Thrift structures, and back."""
+"""Conversion of replication messages to Thrift structures and back."""
 
 from typing import Any
 
@@ -27,7 +27,7 @@
 
 
 def to_wire(message: models.Message) -> Any:
-    """Return a message as its Thrift structure."""
+    """Convert a message to its Thrift structure."""
     fields = message._asdict()
     if "entries" in fields:
         fields["entries"] = entries_to_wire(fields["entries"])
@@ -35,7 +35,7 @@
 
 
 def from_wire(structure: Any) -> models.Message:
-    """Return a Thrift structure as a message; absent fields get defaults."""
+    """Convert a Thrift structure to a message; absent fields get defaults."""
     model = _MODEL_BY_WIRE[type(structure)]
     fields = {name: getattr(structure, name) for name in model._fields}
     fields = {name: value for name, value in fields.items() if value is not None}
--- a/bitterntiller/components/replication/writer.py
+++ b/bitterntiller/components/replication/writer.py
@@ -1,4 +1,4 @@
-"""Writes a replica's log to its disk, and watches how long the disk takes."""
+"""Writes a replica's log to its disk, and detects stalled writes."""
 
 from collections.abc import Awaitable, Callable
 
@@ -13,17 +13,17 @@
 from .storage import Storage
 
 FULL_PAUSE = 0.2
-"""Seconds before a write that found no room on the disk is tried again."""
+"""Seconds before a write is retried on a full disk."""
 
 STALLED_WRITE = 0.6
-"""Seconds after which a write counts as stalled: a hundred times a usual one, and as
-long as followers wait for a leader that has died."""
+"""Seconds after which a write counts as stalled: a hundred times a usual write, and as
+long as followers wait for a failed leader."""
 
 
 class LogWriter:
-    """Writes what the replica asks for, the newest command at a time.
+    """Makes the writes that the replica requests, one at a time.
 
-    replica is called for the present one, wake to have its effects carried out.
+    replica returns the current replica, wake triggers the execution of its effects.
     """
 
     def __init__(
@@ -43,12 +43,12 @@
         self._writing = curio.Lock()
 
     async def async_request(self, write: Persist) -> None:
-        """Have a write made; it takes the place of one that has not begun."""
+        """Request a write; it replaces one that has not started."""
         self._write = write
         await self._write_requested.set()
 
     async def async_retire(self, reset_replica: Callable[[], None]) -> None:
-        """Put the present log away; begin_anew is called before the next write."""
+        """Retire the current log; reset_replica is called before the next write."""
         async with self._writing:
             self._write = None
             async with curio.disable_cancellation():
@@ -56,7 +56,7 @@
             reset_replica()
 
     async def async_run(self) -> None:
-        """Write for ever."""
+        """Make requested writes until cancelled."""
         while True:
             await self._write_requested.wait()
             self._write_requested.clear()
@@ -79,7 +79,7 @@
         await self._wake()
 
     async def _async_write_out(self, write: Persist) -> None:
-        """Write until there is room: a full disk is emptied by somebody else."""
+        """Retry the write on a full disk until space has been freed."""
         reported = False
         while True:
             try:
@@ -94,10 +94,10 @@
                 await curio.sleep(FULL_PAUSE)
 
     def check_stall(self, now: float) -> None:
-        """Give the lead up when the own disk takes too long.
+        """Step down as leader if the current write takes too long.
 
-        A leader applies only what its own disk holds, so that all callers of control
-        would wait for one slow disk while the others' are sound.
+        A leader applies only entries that its own disk holds, so all callers of
+        control would wait for its slow disk although the other disks are healthy.
         """
         if self._write_began is None or now - self._write_began < STALLED_WRITE:
             return
