--- a/bitterntiller/components/dispatch/scheduler.py
+++ b/bitterntiller/components/dispatch/scheduler.py
@@ -192,7 +192,7 @@
         upstream = job.upstream
         if upstream is not None and reason in _REASONS_TO_TRY_ANOTHER:
             if reason not in _REASONS_WITHOUT_FAULT:
-                self._estimator.not_run(upstream, reason, now)
+                self._estimator.learn_from_return(upstream, reason, now)
             job.return_count += 1
             tried = (*job.request.tried, upstream.name)
             job.request = job.request._replace(tried=tried)
@@ -214,7 +214,7 @@
         if job is None:
             return []
         self._jobs.mark_running(job, now)
-        self._estimator.progress(job, output_tokens, now, first)
+        self._estimator.learn_from_progress(job, output_tokens, now, first)
         if job.upstream is None:
             return []
         decisions: list[Decision] = []
@@ -229,7 +229,7 @@
         if job is None:
             return []
         decisions: list[Decision] = []
-        self._estimator.finished(job, completion, now)
+        self._estimator.learn_from_completion(job, completion, now)
         self._jobs.withdraw(job, now)
         self._grant_loop.decide(now, decisions)
         return decisions
