--- a/bitterntiller/components/dispatch/__init__.py
+++ b/bitterntiller/components/dispatch/__init__.py
@@ -53,7 +53,7 @@
 """Parameters of pools whose upstreams register with control.
 
 Their requests have an objective for the first output. Running requests meet their
-deadlines beside any others, since output is many times faster than required; so every
+objective beside any others, since output is many times faster than required; so every
 slot is filled, and only waiting requests can miss an objective. There is no margin on
 the estimated completion: it would skip requests with long outputs until their objective
 is missed, while small requests behind them are sent.
@@ -147,8 +147,8 @@
         runtime.stack.callback(runtime.links.handle(cls, handler))
     await runtime.async_spawn(coordinator.async_run())
     clock = runtime.clock
-    # Uses the qualified name, since the submodule "describe" replaces a function of
-    # the same name in this namespace once it is imported.
+    # Uses qualified names: a submodule of this package that has the name of a function
+    # replaces it in this namespace once the submodule is imported.
     runtime.add_diagnostics(
         "dispatch", lambda: diagnostics.describe(coordinator, clock.now())
     )
--- a/bitterntiller/components/dispatch/call_durations.py
+++ b/bitterntiller/components/dispatch/call_durations.py
@@ -7,8 +7,8 @@
 class CallDurations:
     """Learns the mean duration of calls for each octave of prompt tokens.
 
-    The size of the body is all that is known of a call in advance. The mean is the
-    geometric mean over all upstreams of the pool.
+    The size of the body is all that is known of a call in advance. The mean is a
+    moving average of the logarithm over all upstreams of the pool.
     """
 
     def __init__(self) -> None:
--- a/bitterntiller/components/dispatch/workspace_limiter.py
+++ b/bitterntiller/components/dispatch/workspace_limiter.py
@@ -1,4 +1,4 @@
-"""Concurrency and rate limits of workspaces, enforced by the owner of a pool."""
+"""Limits of workspaces, enforced by the owner of a pool over all entry hosts."""
 
 from bitterntiller.components.dispatch.models import WorkspaceLimits
 
