--- a/bitterntiller/components/dispatch/scheduler.py
+++ b/bitterntiller/components/dispatch/scheduler.py
@@ -63,7 +63,7 @@
 
     The calls for a request are register, which leads to a grant, then started, progress
     and finished. Each call updates the requests and upstreams that it concerns and then
-    runs Granting, which grants requests while an upstream is free.
+    runs GrantLoop, which grants requests while an upstream is free.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
             self._pool, self._queue, self._limiter, rng, parameters.lower_share
         )
         self._shedder = Shedder(parameters, self._queue, self._wait_estimator)
-        self._housekeeping_at = 0.0
+        self._next_housekeeping_at = 0.0
         self._blocked: set[tuple] = set()
         self._jobs = JobLifecycle(
             parameters,
@@ -282,8 +282,8 @@
     def review(self, fingerprints: frozenset[int], now: float) -> list[Decision]:
         """Reconsider waiting requests whose crash history has changed.
 
-        Requests that are quarantined now are refused; the others move to the group that
-        fits their number of crashes.
+        Requests that are quarantined now are refused. The others are regrouped, since
+        suspects wait in groups of their own.
         """
         decisions: list[Decision] = []
         for job in list(self._jobs.by_id.values()):
@@ -319,14 +319,14 @@
         for job in self._wait_deadlines.due_checks(now):
             self._refuse_if_too_late(job, now, decisions)
         self._pool.refresh_due(now)
-        if now >= self._housekeeping_at:
+        if now >= self._next_housekeeping_at:
             self._housekeep(now, decisions)
         self._grant_loop.decide(now, decisions)
         return decisions
 
     def next_wake(self, now: float) -> float:
         """Return the time at which tick() is due if no other call comes first."""
-        housekeeping = self._housekeeping_at
+        housekeeping = self._next_housekeeping_at
         if not self._jobs.by_id:
             housekeeping = max(housekeeping, now + IDLE_WAKE_SECONDS)
         return min(
@@ -416,7 +416,7 @@
         self._wait_deadlines.schedule_check(job, now)
 
     def _housekeep(self, now: float, decisions: list[Decision]) -> None:
-        self._housekeeping_at = now + HOUSEKEEPING_SECONDS
+        self._next_housekeeping_at = now + HOUSEKEEPING_SECONDS
         self._pool.housekeep(now)
         for timers in (
             self._wait_deadlines,
