--- a/tests/components/replication/builders.py
+++ b/tests/components/replication/builders.py
@@ -1,4 +1,4 @@
-"""Builders of replicas with a real folder, and links that are function calls."""
+"""Builders of replicas with real data folders, linked by function calls."""
 
 import json
 from collections.abc import Callable
@@ -60,7 +60,7 @@
 
 
 class Machine:
-    """A list of commands."""
+    """State machine whose state is the list of applied commands."""
 
     def __init__(self) -> None:
         self.commands: list[str] = []
@@ -84,7 +84,7 @@
 
 
 class Deployment:
-    """Some hosts with a folder each, started and stopped one by one."""
+    """Hosts with a data folder each, which can be started and stopped."""
 
     def __init__(
         self, folder, names: str, snapshot_entries: int = 10000, spare: str = ""
@@ -131,7 +131,7 @@
         await self.hosts.pop(name).runtime.stack.aclose()
 
     async def leader(self, timeout: float = 8.0) -> Host:
-        """Return the host that a quorum confirms as leader."""
+        """Wait for a leader that a quorum confirms, and return its host."""
         async with curio.timeout_after(timeout):
             while True:
                 for host in list(self.hosts.values()):
@@ -148,7 +148,7 @@
 
 @asynccontextmanager
 async def deployed(folder, names: str, **options):
-    """Start a deployment and stop what is left of it."""
+    """Start a deployment; at the end stop the hosts that still run."""
     deployment = Deployment(folder, names, **options)
     for name in names:
         await deployment.start(name)
--- a/tests/components/replication/checker.py
+++ b/tests/components/replication/checker.py
@@ -1,4 +1,4 @@
-"""What must hold after each step of a schedule."""
+"""Safety properties that must hold after each step of a schedule."""
 
 from typing import Any
 
@@ -7,15 +7,15 @@
 
 
 class ViolationError(AssertionError):
-    """Raised when a promise of the log is broken."""
+    """Raised when a safety property of the log is violated."""
 
 
 class StuckError(ViolationError):
-    """Raised when nothing is committed after all faults have ended."""
+    """Raised when nothing is committed after all faults have ended (liveness)."""
 
 
 class Checker:
-    """All that any replica has been seen to commit, append or lead."""
+    """Leaders, entries and commits observed on any replica so far."""
 
     def __init__(self) -> None:
         self.leader_by_term: dict[int, str] = {}
--- a/tests/components/replication/cluster.py
+++ b/tests/components/replication/cluster.py
@@ -1,6 +1,6 @@
-"""A cluster of pure replicas: disks that keep only what was synced, and the effects.
+"""Cluster of pure replicas with simulated disks that keep only what was synced.
 
-What each replica asks for is carried out here and checked at once.
+The effects of each replica are executed here and checked at once.
 """
 
 import random
@@ -44,7 +44,7 @@
 
 
 class Cluster:
-    """Replicas, what they have on disk and on the wire, and the checks."""
+    """Replicas, their disks, the messages in flight, and the checker."""
 
     def __init__(self, seed: int, profile: Profile = MIXED) -> None:
         self.rng = random.Random(seed)
--- a/tests/components/replication/explorer.py
+++ b/tests/components/replication/explorer.py
@@ -1,8 +1,8 @@
-"""Drives pure replicas through seeded schedules and checks them at each step.
+"""Random, seeded schedules of faults for pure replicas, checked at each step.
 
-The disks keep only what was synced. An old copy of a disk is put back, or a
-disk lost, only while all other disks are sound and the last such fault has
-been repaired: more than that no protocol of three replicas survives.
+The disks keep only what was synced. A disk is lost, or replaced by an older copy,
+only while all other disks are healthy and the last such fault has been repaired; no
+protocol with three replicas tolerates more.
 """
 
 from bitterntiller.components.replication import repair_decisions
@@ -15,10 +15,10 @@
 
 
 class Simulation(Cluster):
-    """A cluster to which things happen by chance, step by step."""
+    """Cluster whose messages, timers, syncs and faults occur in random order."""
 
     def run(self, steps: int) -> None:
-        # Each schedule has its own mixture of faults; some come often together.
+        # Each schedule has its own mix of faults, so that some occur often together.
         weights = []
         for action, usual in WEIGHTS.items():
             weight = self.profile.weights.get(action, usual)
@@ -111,7 +111,7 @@
                 self.cuts |= {p for h in lost for p in ((node.host, h), (h, node.host))}
                 self.cuts |= {(h, node.host) for h in reached}
 
-    def hand_over(self) -> None:
+    def transfer_leadership(self) -> None:
         for node in self.leaders():
             node.replica.transfer_leadership(node.clock)
             self.apply_effects(node)
@@ -180,7 +180,7 @@
             self.apply_effects(node)
 
     def settle(self) -> None:
-        """End all faults; raise unless a new entry is committed soon."""
+        """End all faults; raise StuckError unless new entries are committed soon."""
         self.fault_free = True
         self.cuts.clear()
         self.thaw()
@@ -191,11 +191,11 @@
             getattr(self, action)()
             if self.checker.last_committed() > before + 3 and not self.unrepaired_host:
                 return
-        raise StuckError("no entry is committed although all are connected")
+        raise StuckError("no entry is committed although all replicas are connected")
 
 
 def explore(seed: int, profile: Profile = MIXED) -> Simulation:
-    """Run one schedule; raise ViolationError for a broken promise."""
+    """Run one schedule; raise ViolationError if a safety property is violated."""
     simulation = Simulation(seed, profile)
     try:
         simulation.run(profile.steps)
--- a/tests/components/replication/mutations.py
+++ b/tests/components/replication/mutations.py
@@ -1,4 +1,4 @@
-"""Guards of the replicated log, each broken in one way."""
+"""Mutations, each of which disables one safety guard of the replicated log."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -84,7 +84,7 @@
     patch.setattr(following, "has_previous_entry", has_previous_entry)
 
 
-def late_append_cuts_the_log(patch):
+def late_append_truncates_the_log(patch):
     append_or_replace = following._append_or_replace
 
     def cut(state, entry):
@@ -121,7 +121,7 @@
     patch.setattr(leading, "may_change_members", may_change)
 
 
-def changes_members_while_one_is_open(patch):
+def changes_members_while_one_is_uncommitted(patch):
     patch.setattr(
         leading, "may_change_members", lambda state: state.role is Role.LEADER
     )
@@ -155,7 +155,7 @@
 
 
 def lost_disk_keeps_its_identity(patch):
-    """Its boot number would give it away too, so that is not compared either."""
+    """Let a lost disk keep its identity; skip the boot numbers, which reveal it too."""
     patch.setattr(core, "is_from_earlier_boot", lambda state, message: False)
 
     def same_identity(self, node):
@@ -168,7 +168,7 @@
 
 
 class MutationCase(NamedTuple):
-    """Which kind of schedule finds a broken guard, from which seed on."""
+    """Mutation, the profile whose schedules detect it, and the first seed to try."""
 
     mutation: Callable
     profile: profiles.Profile
@@ -181,10 +181,10 @@
     MutationCase(votes_for_any_log, profiles.MIXED, 0),
     MutationCase(half_is_a_quorum, profiles.MIXED, 0),
     MutationCase(no_check_of_previous_entry, profiles.MIXED, 0),
-    MutationCase(late_append_cuts_the_log, profiles.MIXED, 1),
+    MutationCase(late_append_truncates_the_log, profiles.MIXED, 1),
     MutationCase(commits_beyond_what_was_compared, profiles.MIXED, 16),
     MutationCase(installs_stale_snapshots, profiles.SNAPSHOTS, 110),
-    MutationCase(changes_members_while_one_is_open, profiles.CHANGES, 24),
+    MutationCase(changes_members_while_one_is_uncommitted, profiles.CHANGES, 24),
     MutationCase(reads_without_a_round, profiles.MIXED, 0),
     MutationCase(old_identity_votes, profiles.COPIES, 6),
     MutationCase(old_identity_is_not_recognized_nor_caught_up, profiles.COPIES, 10),
--- a/tests/components/replication/profiles.py
+++ b/tests/components/replication/profiles.py
@@ -1,4 +1,4 @@
-"""Kinds of schedules: which faults happen, and how often."""
+"""Profiles of schedules: which faults occur, and how often."""
 
 from typing import NamedTuple
 
@@ -26,11 +26,11 @@
 
 
 class Profile(NamedTuple):
-    """A kind of schedule: some faults made frequent, others left out.
+    """Profile of a schedule: some faults are frequent, others are left out.
 
-    weights may name steps that no other schedule takes. first hosts are voters at the
-    start; grace is how long a replica waits for the answers of all other voters; batch
-    is the most entries in a message.
+    weights can add steps that other profiles don't have. The first initial_voters
+    hosts are voters at the start; grace is how many seconds a starting replica waits
+    for the replies of all other voters; batch is the maximum of entries per message.
     """
 
     weights: dict[str, int] = {}
@@ -80,7 +80,14 @@
     "abc",
 )
 TRANSFERS = Profile(
-    {"hand_over": 60, "crash": 20, "cut": 20, "heal": 20, "restart": 40, "propose": 90},
+    {
+        "transfer_leadership": 60,
+        "crash": 20,
+        "cut": 20,
+        "heal": 20,
+        "restart": 40,
+        "propose": 90,
+    },
     ("crash", "cut", "freeze", "resize"),
     initial_voters=4,
 )
--- a/tests/components/replication/script.py
+++ b/tests/components/replication/script.py
@@ -1,4 +1,4 @@
-"""Directed schedules: who is connected, who syncs, who campaigns."""
+"""Directed schedules: which hosts are connected, sync or campaign."""
 
 from collections.abc import Callable, Collection
 
@@ -10,8 +10,8 @@
 
 
 def make_simulation(hosts: str) -> Simulation:
-    """Return connected replicas that have asked about themselves."""
-    # A story says who campaigns; nobody else does so by itself within its ticks.
+    """Return connected replicas that have completed their startup checks."""
+    # A schedule decides which host campaigns; no other does within its ticks.
     profile = Profile(
         hosts=hosts,
         initial_voters=len(hosts),
@@ -33,7 +33,7 @@
     until: Callable[[], bool] = lambda: False,
     syncing: Collection[str] | None = None,
 ) -> None:
-    """Deliver among some hosts until nothing is left; the rest is lost."""
+    """Deliver messages and sync among some hosts until idle; drop the rest."""
     syncing = hosts if syncing is None else syncing
     for _ in range(2000):
         if until():
@@ -71,7 +71,7 @@
     hosts: Collection[str],
     syncing: str | None = None,
 ) -> bool:
-    """Let a host campaign; return whether it leads, all else then lost."""
+    """Let a host campaign and drop other messages; return whether it leads."""
     node = simulation.nodes[host]
     for _ in range(4):
         for other in simulation.nodes.values():
@@ -89,7 +89,7 @@
 
 
 def tick(simulation: Simulation, hosts: Collection[str]) -> None:
-    """Let a heartbeat's time pass for some hosts."""
+    """Advance the clocks of some hosts by more than a heartbeat interval."""
     for host in hosts:
         node = simulation.nodes[host]
         node.clock += 0.2
@@ -98,7 +98,7 @@
 
 
 def settle(simulation: Simulation, hosts: Collection[str]) -> None:
-    """Let all of some hosts learn what is committed."""
+    """Let some hosts exchange heartbeats until all know the commit index."""
     for _ in range(2):
         tick(simulation, hosts)
         drain(simulation, hosts)
--- a/tests/components/replication/test_automatic.py
+++ b/tests/components/replication/test_automatic.py
@@ -1,4 +1,4 @@
-"""Voters that a leader makes and replaces without a command."""
+"""Voters that a leader promotes and replaces without a command."""
 
 import pytest
 
@@ -30,8 +30,8 @@
     return learner
 
 
-def test_host_that_joins_becomes_a_voter_up_to_the_number():
-    """Five hosts of control bear one loss only, since three of them vote."""
+def test_joining_host_becomes_a_voter_up_to_the_target():
+    """Five control hosts must not tolerate just one failure with three voters."""
     simulation, state = led_simulation("abc", 5)
     now = simulation.nodes["a"].clock
     add_learner(state, now, now)
@@ -39,10 +39,10 @@
     assert [m.replica for m in step if m.voter][-1] == "z/1"
 
 
-def test_silent_voter_gives_its_place_to_a_learner():
-    """A host is gone for good; its successor at a new address never gets to vote.
+def test_silent_voter_is_replaced_by_a_learner():
+    """A lost host is replaced by one at a new address, which must become a voter.
 
-    The next two losses then leave no majority.
+    Otherwise the next two losses leave no quorum.
     """
     simulation, state = led_simulation("abc", 3)
     now = simulation.nodes["a"].clock
@@ -57,7 +57,7 @@
     assert len([m for m in step if m.voter]) == 2
 
 
-def test_voter_that_answers_keeps_its_place():
+def test_responding_voter_is_not_replaced():
     simulation, state = led_simulation("abc", 3)
     now = simulation.nodes["a"].clock
     add_learner(state, now, now)
@@ -67,7 +67,7 @@
     assert len(voters(state.members)) == 3
 
 
-def test_without_a_number_no_voter_is_replaced():
+def test_without_a_target_no_voter_is_replaced():
     simulation, state = led_simulation("abc", 0)
     now = simulation.nodes["a"].clock
     add_learner(state, now + 60, now + 60)
@@ -91,7 +91,10 @@
     ],
 )
 def test_seeds_are_known_by_their_addresses(own, replies, formed):
-    """Two deployments begin beside each other, or none, with seeds known by address."""
+    """With seeds listed by address, exactly one host must form the membership.
+
+    Otherwise two deployments are formed side by side, or none.
+    """
     me = join_decisions.LocalReplica(f"{own}/1", own, f"10.0.0.{own}:7")
     first = join_decisions.first_members(me, SEEDS, [reply(host) for host in replies])
     assert (first is not None) == formed
--- a/tests/components/replication/test_coordinator.py
+++ b/tests/components/replication/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Replicas with real folders and time, links replaced by calls."""
+"""Replicas with real folders and clocks, linked by function calls."""
 
 import os
 import shutil
@@ -26,11 +26,11 @@
     curio.run(run)
 
 
-def test_commands_outlive_their_leader(tmp_path):
-    """An operator's change was accepted, then the leader's host stops.
+def test_commands_survive_the_loss_of_the_leader(tmp_path):
+    """The leader's host stops after an operator's change was accepted.
 
-    Another host leads within seconds and has the change; the first comes back
-    and follows.
+    Another host must lead within seconds and have the change; the first host must
+    follow it after its restart.
     """
 
     async def run():
@@ -50,11 +50,11 @@
     curio.run(run)
 
 
-def test_a_cut_off_leader_commits_nothing_and_confirms_nothing(tmp_path):
-    """A host behind a cut goes on answering operators from an old state.
+def test_a_partitioned_leader_commits_nothing_and_confirms_nothing(tmp_path):
+    """A partitioned leader must not serve operators from old state.
 
-    Its proposal must end as unknown, its confirmation as None, while the others
-    elect a leader; after the cut it follows that one.
+    Its proposal must end as unknown and its confirmation as None while the others
+    elect a leader; after the partition it must follow the new leader.
     """
 
     async def run():
@@ -73,10 +73,11 @@
 
 
 def test_a_lost_disk_is_replaced_and_a_second_loss_survived(tmp_path):
-    """A host comes back with an empty disk, and then another one dies.
+    """A host restarts with an empty disk, and then another host fails.
 
-    It joins under a new identity; the repair is reported done only when one more
-    loss is survived again. After the second loss nothing accepted is missing.
+    It joins under a new identity; the repair must be reported as done only once one
+    more failure is tolerated again. After the second failure no accepted command may
+    be missing.
     """
 
     async def run():
@@ -101,11 +102,11 @@
     curio.run(run)
 
 
-def test_another_host_takes_the_place_of_a_dead_one_by_command(tmp_path):
-    """A host is gone for good, and one more loss would end control.
+def test_a_command_replaces_a_failed_host(tmp_path):
+    """A host has failed permanently, and one more failure would stop control.
 
-    A spare host joins as a learner and changes nothing by itself; the command
-    replaces the dead one, and then another loss is survived.
+    A spare host joins as a learner, which alone must change nothing; the command
+    replaces the failed host, and then another failure is tolerated.
     """
 
     async def run():
@@ -128,10 +129,10 @@
 
 
 async def _async_until_repaired(deployment, leader, host, add=None) -> None:
-    """Ask the leader for a repair until it is done, for ten seconds.
+    """Request a repair from the leader until it is done, for up to ten seconds.
 
-    All replicas share one process here. When the machine stops it for half a second the
-    leader has heard no quorum and leads no more until it is elected again.
+    All replicas share one process here. If the machine pauses it for half a second, the
+    leader has lost contact with its quorum and steps down until it is elected again.
     """
     repair = messages.Repair(remove=host, add=add or host, address="")
     links = leader.runtime.links
@@ -148,10 +149,10 @@
 
 
 def test_an_old_copy_of_a_folder_gets_a_new_identity(tmp_path):
-    """A backup of a data folder is put back, and accepted changes vanish.
+    """A data folder is restored from a backup, which must not lose accepted changes.
 
-    The others remember a later start of that replica, so the copy gives up its
-    identity, joins as a learner and replaces the old one.
+    The others have recorded a later start of that replica, so the copy retires its
+    identity, joins as a learner and replaces the old identity.
     """
 
     async def run():
@@ -174,10 +175,10 @@
 
 
 def test_a_failed_sync_stops_the_process(tmp_path, monkeypatch):
-    """The disk is full or broken, and a change would be said to be accepted.
+    """A change must not be reported as accepted if its sync failed.
 
-    The proposal ends as unknown, the process is told to stop, and no later sync
-    is tried, since it could succeed without the lost data.
+    The proposal ends as unknown, the process is stopped, and no later sync is
+    attempted, since it could succeed without the lost data.
     """
 
     async def run():
@@ -200,11 +201,11 @@
     assert os.path.exists(tmp_path / "a" / "replication" / "identity")
 
 
-def test_few_large_entries_are_cut_from_the_log_too(tmp_path, monkeypatch):
-    """A host takes minutes to start: its log holds hundreds of megabytes.
+def test_few_large_entries_are_compacted_too(tmp_path, monkeypatch):
+    """A host took minutes to start because its log held hundreds of megabytes.
 
-    Claims come in groups, so that ten thousand entries, after which the log is cut,
-    are more than a million claims. The bytes of the log count as well.
+    Commands hold groups of claims, so the ten thousand entries after which the log was
+    compacted are more than a million claims. The bytes of the log must count as well.
     """
     monkeypatch.setattr(coordinator, "SNAPSHOT_BYTES", 4000)
 
--- a/tests/components/replication/test_directed.py
+++ b/tests/components/replication/test_directed.py
@@ -1,4 +1,4 @@
-"""Orders of events that chance seldom finds, with their guard and without it."""
+"""Schedules that random search rarely finds, run with and without their guard."""
 
 import pytest
 
@@ -9,10 +9,10 @@
 
 
 def vote_forgotten() -> None:
-    """Two hosts answer operators as leader of one term and both accept changes.
+    """Two hosts lead the same term, and both accept operators' changes.
 
-    c votes for b, its reply leaves, and c loses power before the vote is on its
-    disk. It starts again, hears only a, and votes for a in the same term.
+    c votes for b, sends its reply, and loses power before the vote is synced. It
+    restarts, reaches only a, and votes for a in the same term.
     """
     simulation = make_simulation("abc")
     elect(simulation, "b", "bc", syncing="b")
@@ -22,7 +22,7 @@
 
 
 def replicated_to_a_and_b(syncing: str) -> Simulation:
-    """Return a world led by a, whose change reaches b; one of the two syncs it."""
+    """Return a simulation led by a, whose entry reaches b; only syncing syncs it."""
     simulation = make_simulation("abc")
     assert elect(simulation, "a", "abc")
     settle(simulation, "abc")
@@ -33,10 +33,10 @@
 
 
 def acknowledgement_forgotten() -> None:
-    """A change that an operator saw accepted is gone after a power loss.
+    """A change that was reported as accepted is lost after a power loss.
 
-    b acknowledges it before it is on its disk, so a accepts it; b loses power,
-    starts again and meets only c, which had been cut off.
+    b acknowledges it before it is synced, so a commits it; b loses power, restarts
+    and reaches only c, which had been partitioned.
     """
     simulation = replicated_to_a_and_b(syncing="a")
     restart(simulation, "b")
@@ -45,10 +45,10 @@
 
 
 def own_entry_forgotten() -> None:
-    """The same when the leader's own disk is the slow one.
+    """The same loss if the leader's own disk is the slow one.
 
-    a counts its own unsynced copy beside b's and accepts; it loses power, starts
-    again and meets only c.
+    a counts its own unsynced copy together with b's and commits; it loses power,
+    restarts and reaches only c.
     """
     simulation = replicated_to_a_and_b(syncing="b")
     restart(simulation, "a")
@@ -63,7 +63,7 @@
 
 
 def old_entry_counted() -> None:
-    """An operator's accepted change is gone after two changes of leader.
+    """An accepted change is lost after two changes of leader (figure 8 of the paper).
 
     a's entry reaches a quorum only in a later term of a; b, which holds an entry
     of a term in between, is then elected and overwrites it.
@@ -87,10 +87,10 @@
 
 
 def two_histories_of_members() -> None:
-    """Two halves of control each accept changes, and one half's are lost.
+    """Two halves of control each accept changes, and those of one half are lost.
 
-    a removes d but reaches nobody; b is elected and at once removes a. The two
-    memberships share no quorum: {a, c} and {b, d} both decide.
+    a removes d but reaches no other host; b is elected and removes a at once. Quorums
+    of the two memberships don't overlap: {a, c} and {b, d} both commit.
     """
     simulation = make_simulation("abcd")
     assert elect(simulation, "a", "abcd")
@@ -106,10 +106,10 @@
 
 
 def disk_lost_after_commit() -> None:
-    """A change that an operator saw accepted is gone.
+    """A change that was reported as accepted is lost.
 
-    a and b have committed it, c was cut off. b comes back with an empty disk and
-    meets c only; if b voted under its old name, c would lead without it.
+    a and b have committed it while c was partitioned. b restarts with an empty disk
+    and reaches only c; if b voted under its old identity, c would lead without it.
     """
     simulation = make_simulation("abc")
     assert elect(simulation, "a", "abc")
@@ -148,8 +148,8 @@
 
 
 @pytest.mark.parametrize(("schedule", "mutation", "violation"), CASES)
-def test_the_guard_holds_and_is_needed(schedule, mutation, violation, monkeypatch):
-    """Each story passes with its guard; without it a promise is seen broken."""
+def test_each_schedule_needs_its_guard(schedule, mutation, violation, monkeypatch):
+    """Each schedule passes with its guard and violates safety without it."""
     schedule()
     mutation(monkeypatch)
     with pytest.raises(ViolationError, match=violation):
--- a/tests/components/replication/test_explorer.py
+++ b/tests/components/replication/test_explorer.py
@@ -1,4 +1,4 @@
-"""The replicas keep their promises in random schedules, and only with all guards."""
+"""Safety in random schedules, and its loss when a guard is disabled."""
 
 import os
 
@@ -7,17 +7,17 @@
 from . import checker, explorer, mutations, profiles
 
 SCHEDULES = int(os.environ.get("BITTERN_SCHEDULES", "12"))
-"""Schedules of each profile; thousands are run by hand."""
+"""Schedules per profile; longer runs of thousands are started by hand."""
 
 SEARCHED = 120
 
 
 @pytest.mark.parametrize("profile", profiles.PROFILES)
-def test_promises_hold_in_random_schedules(profile):
-    """Accepted changes vanish, or two leaders answer, after faults in bad order.
+def test_safety_holds_in_random_schedules(profile):
+    """Accepted changes are lost, or a term has two leaders, after certain faults.
 
-    Messages are lost, late and doubled; hosts crash around each sync, freeze, are
-    cut off, lose their disk or get an old copy of it; the membership changes.
+    Messages are lost, delayed and duplicated; hosts crash around each sync, freeze, are
+    partitioned, lose their disk or get an older copy of it; the membership changes.
     """
     for seed in range(SCHEDULES):
         explorer.explore(seed, profile)
@@ -26,8 +26,8 @@
 @pytest.mark.parametrize(
     "case", mutations.RANDOM_SEARCH_CASES, ids=lambda case: case.mutation.__name__
 )
-def test_a_broken_guard_is_found(case, monkeypatch):
-    """Each guard is broken once; the checks must see a promise broken by it."""
+def test_a_disabled_guard_is_detected(case, monkeypatch):
+    """The checker must detect a violation for each guard that is disabled."""
     case.mutation(monkeypatch)
     for seed in range(case.seed, case.seed + SEARCHED):
         try:
--- a/tests/components/replication/test_hand_over.py
+++ b/tests/components/replication/test_hand_over.py
@@ -1,4 +1,4 @@
-"""A leader that stops hands its lead over."""
+"""Leadership transfer from a leader that stops."""
 
 import pytest
 
@@ -15,8 +15,8 @@
     return simulation
 
 
-def hand_over(simulation: Simulation) -> str:
-    """Have a hand over and stop; return who was asked."""
+def transfer_leadership(simulation: Simulation) -> str:
+    """Make a transfer its leadership; return the chosen successor."""
     node = simulation.nodes["a"]
     successor = node.replica.transfer_leadership(node.clock)
     simulation.apply_effects(node)
@@ -27,21 +27,21 @@
     return [host for host, node in simulation.nodes.items() if leads(node)]
 
 
-def test_another_replica_leads_before_any_time_passes():
-    """Calls are refused for a second each time a control host is restarted.
+def test_successor_leads_before_any_time_passes():
+    """Requests were refused for a second at each restart of a control host.
 
-    Its leader stops and hands its lead to nobody. The others wait for an election
-    timeout, and hosts whose leases end in it take no work.
+    Its leader stopped without a transfer. The others waited for an election timeout,
+    and hosts whose leases expired in that time accepted no work.
     """
     simulation = led_by_a()
-    successor = hand_over(simulation)
+    successor = transfer_leadership(simulation)
     drain(simulation, "abc")
     assert [f"{host}/1" for host in leaders(simulation)] == [successor]
     assert successor != "a/1"
 
 
-def test_lead_goes_to_the_replica_that_lacks_least():
-    """The lead is offered to a replica that may not win, and an election follows."""
+def test_successor_has_the_longest_log():
+    """A successor without the longest log might lose, which costs another election."""
     simulation = led_by_a()
     leader = simulation.nodes["a"]
     for number in range(9):
@@ -49,40 +49,40 @@
         simulation.apply_effects(leader)
         drain(simulation, "ac")
     tick(simulation, "a")
-    assert hand_over(simulation) == "c/1"
+    assert transfer_leadership(simulation) == "c/1"
     drain(simulation, "abc")
     assert leaders(simulation) == ["c"]
 
 
-def test_what_is_on_its_way_reaches_the_successor_before_its_call():
-    """A change of the last moment keeps the successor from being elected."""
+def test_successor_gets_pending_entries_before_timeout_now():
+    """A proposal just before the transfer must not keep the successor from winning."""
     simulation = led_by_a()
     leader = simulation.nodes["a"]
     leader.replica.propose(b"last")
-    hand_over(simulation)
+    transfer_leadership(simulation)
     drain(simulation, "abc")
     assert leaders(simulation) != ["a"]
     assert len(leaders(simulation)) == 1
 
 
 @pytest.mark.parametrize("host", ["b", "c"])
-def test_replica_that_does_not_lead_hands_nothing_over(host):
+def test_follower_transfers_no_leadership(host):
     simulation = led_by_a()
     node = simulation.nodes[host]
     assert node.replica.transfer_leadership(node.clock) == ""
 
 
-def test_leader_that_hears_nobody_keeps_its_lead():
-    """A control host stops as the last one, and has nobody to wait for."""
+def test_leader_without_contact_keeps_its_leadership():
+    """The last control host that runs must not wait for a successor when it stops."""
     simulation = led_by_a()
     simulation.nodes["a"].clock += 0.9
-    assert hand_over(simulation) == ""
+    assert transfer_leadership(simulation) == ""
 
 
-def test_late_call_of_an_earlier_term_is_ignored():
-    """A leader is deposed by a call to lead that was delayed for a minute."""
+def test_timeout_now_of_an_earlier_term_is_ignored():
+    """A TimeoutNow that was delayed for a minute must not depose a leader."""
     simulation = led_by_a()
-    successor = hand_over(simulation)
+    successor = transfer_leadership(simulation)
     late = [item for item in simulation.network if isinstance(item[2], TimeoutNow)]
     drain(simulation, "abc")
     assert elect(simulation, "a", "abc")
--- a/tests/components/replication/test_join_decisions.py
+++ b/tests/components/replication/test_join_decisions.py
@@ -1,4 +1,4 @@
-"""Who may form the first membership."""
+"""Which host may form the first membership, and how others join."""
 
 import random
 
@@ -29,8 +29,8 @@
     assert [member.replica for member in formed] == ["a/1", "b/1", "c/1"]
 
 
-def test_nobody_else_forms_it():
-    """Two hosts of a new deployment each begin a log, and changes go to both."""
+def test_no_other_host_forms_it():
+    """Two hosts of a new deployment must not each form a log and accept changes."""
     own = join_decisions.LocalReplica("b/1", "b", "10.0.0.2:1")
     assert (
         join_decisions.first_members(own, BOOTSTRAP, [reply("a"), reply("c")]) is None
@@ -41,11 +41,11 @@
     )
 
 
-def test_an_empty_host_does_not_form_it_beside_a_living_log():
-    """A lost disk makes a host start a second, empty deployment.
+def test_an_empty_host_does_not_form_it_beside_an_existing_log():
+    """A host that lost its disk must not start a second, empty deployment.
 
-    One other host is empty or silent too, so that only one knows of the log, or
-    none can be asked. The empty host then waits or joins.
+    Another host is empty or silent too, so that only one other knows the log, or no
+    host can be queried. The empty host must then wait or join.
     """
     assert join_decisions.first_members(OWN, BOOTSTRAP, [reply("b")]) is None
     for status in ("exists", "not-leader", "accepted", "formed"):
@@ -53,14 +53,14 @@
         assert join_decisions.first_members(OWN, BOOTSTRAP, replies) is None
 
 
-def test_a_formed_membership_is_taken_over_only_by_its_members(rng):
+def test_a_formed_membership_is_adopted_only_by_its_members(rng):
     members = (Member("a/1", "a", "x", True), Member("b/1", "b", "y", True))
     replies = [reply("a", "formed", encode_members(members))]
     assert join_decisions.formed_members(replica("b/1", rng).state, replies) == members
     assert join_decisions.formed_members(replica("b/2", rng).state, replies) is None
 
 
-def test_an_answer_tells_an_empty_log_from_a_formed_one(rng):
+def test_join_reply_distinguishes_an_empty_log_from_a_formed_one(rng):
     first = replica("a/1", rng)
     join = messages.Join("b/1", "b", "y", True)
     assert join_decisions.answer(first, OWN, join, 100.0).status == "fresh"
@@ -71,10 +71,10 @@
 
 
 def test_an_empty_old_copy_is_sent_the_log_from_its_start(rng):
-    """A host never comes back after a copy of its still empty folder is put back.
+    """A host with a restored copy of its still empty folder never caught up again.
 
-    The leader remembers what it had acknowledged and offers only later entries. A
-    newcomer's snapshot, which takes long, is not begun again.
+    The leader kept what the host had acknowledged and sent only later entries. The
+    snapshot transfer to a new learner, which takes long, must not be restarted.
     """
     leader = replica("a/1", rng)
     leader.bootstrap([Member("a/1", "a", "x", True)])
@@ -92,8 +92,8 @@
     assert progress.snapshot
 
 
-def test_a_moved_host_tells_its_new_address(rng):
-    """A host gets another IP number and is never reached again."""
+def test_a_host_with_a_new_address_joins_again(rng):
+    """A host with a new IP address must join again so that others can reach it."""
     host = replica("a/1", rng)
     host.bootstrap([Member("a/1", "a", "old", True)])
     assert not join_decisions.needs_joining(host.state, "old")
--- a/tests/components/replication/test_rejoin.py
+++ b/tests/components/replication/test_rejoin.py
@@ -36,7 +36,7 @@
 
 @asynccontextmanager
 async def running(file):
-    """Run links and control of a host; give what describes control."""
+    """Run links and control of a host; yield the function that describes control."""
     runtime = make_runtime(load_settings(file), RuntimeClock())
     async with runtime.stack:
         await links.async_setup(runtime, runtime.links)
@@ -77,11 +77,11 @@
 
 
 def test_host_with_an_empty_disk_becomes_a_voter_again(tmp_path):
-    """A host comes back with an empty disk after its disk was lost.
+    """A host restarts with an empty disk after its disk was lost.
 
-    An operator would see it as a learner for ever, and further losses survived
-    stays 0, so that the next loss stops control. The learner knew no member of
-    the log, and so had no address to send its replies to the leader.
+    It stayed a learner, and the further losses survived stayed 0, so that the next
+    loss stopped control. The learner knew no member of the log, and therefore had no
+    address for its replies to the leader.
     """
     files = write_hosts(tmp_path)
     before, after = curio.run(async_lose_and_return, files)
--- a/tests/components/replication/test_restart.py
+++ b/tests/components/replication/test_restart.py
@@ -1,4 +1,4 @@
-"""All of control is started anew at once."""
+"""All control hosts restart at once."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 
 
 def restart_all(seed: int) -> Simulation:
-    """Return five voters with a log that were all started anew."""
+    """Return five voters with a log, all of them restarted."""
     profile = Profile(
         hosts="abcde", initial_voters=5, grace=DEFAULT_STARTUP_CHECK_GRACE, batch=1
     )
@@ -40,7 +40,7 @@
 
 
 def seconds_to_lead(simulation: Simulation, hosts: str) -> float:
-    """Let time pass in steps until one leads; return how long that took."""
+    """Advance time in steps until a host leads; return the seconds that took."""
     passed = 0.0
     while passed < 4.0:
         drain(simulation, hosts)
@@ -57,10 +57,10 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_voters_that_start_together_elect_before_an_election_timeout(seed):
-    """After a loss of power all requests are refused for a second and a half.
+    """After a power loss all requests were refused for a second and a half.
 
-    All hosts are up again. Their replicas have asked each other and know that none of
-    them leads; each still waits for a leader for a whole election timeout.
+    All hosts were up again, and their startup checks had shown that none of them
+    leads; each still waited for a leader for a whole election timeout.
     """
     assert seconds_to_lead(restart_all(seed), "abcde") < ELECTION_MIN / 2
 
@@ -77,10 +77,10 @@
 
 
 def test_a_replaced_disk_is_not_waited_for():
-    """After a loss of power with two disks all requests are refused for two seconds.
+    """After a power loss with two lost disks requests were refused for two seconds.
 
-    The other three wait for answers of identities that lived on the lost disks. Their
-    hosts are up and answer under new ones.
+    The other three voters waited for replies of the identities on the lost disks,
+    although their hosts were up and replied under new identities.
     """
     state = StartupCheck(0.0)
     for voter in ("b/1", "c/1", "d/2", "e/2"):
@@ -96,10 +96,10 @@
         ("b/1", "c/2", "d/2", "e/2"),
     ],
 )
-def test_others_are_waited_for(answers):
-    """A forgotten promise counts, since nobody waited for the one who remembers it.
+def test_other_voters_are_waited_for(answers):
+    """A voter that may have recorded an acknowledgement must be waited for.
 
-    A voter is silent and its host too; or too few are left to make a quorum.
+    Either a voter and its host are silent, or too few replies are left for a quorum.
     """
     state = StartupCheck(0.0)
     for voter in answers:
@@ -107,8 +107,8 @@
     assert not state.is_sufficient("a/1", VOTERS, late=False)
 
 
-def test_first_campaigns_are_apart():
-    """Two voters ask for votes at the same moment, again and again, and none wins."""
+def test_first_campaigns_are_staggered():
+    """Voters that campaign at the same moment must not split the vote repeatedly."""
     simulation = restart_all(1)
     drain(simulation, "abcde")
     assert all(
@@ -123,11 +123,11 @@
 
 
 def test_a_repair_waits_until_the_old_identity_is_known_to_be_silent():
-    """A repair of a host that is back at once never ends, and survives no loss.
+    """The repair of a host that restarted quickly never ended, and tolerated no loss.
 
-    The host lost its disk and is back under a new identity sooner than the leader takes
-    the old one for silent. The new one was made a voter beside it, and no later step
-    removes the old one.
+    The host lost its disk and joined under a new identity before the leader considered
+    the old one silent. The new identity became a voter beside the old one, which no
+    later step removed.
     """
     simulation = make_simulation("abc")
     assert elect(simulation, "a", "abc")
--- a/tests/components/replication/test_stalled.py
+++ b/tests/components/replication/test_stalled.py
@@ -1,4 +1,4 @@
-"""A replica whose disk stalls."""
+"""Replica whose disk stalls."""
 
 import random
 
@@ -20,11 +20,11 @@
     return replica
 
 
-def test_leader_whose_disk_stalls_gives_its_lead_up():
-    """The leader's disk answers nothing for seconds, and no change is acknowledged.
+def test_leader_with_a_stalled_disk_steps_down():
+    """The leader's disk stalls for seconds, and no change is acknowledged.
 
-    The other replicas have sound disks and hold each entry, but only the leader
-    answers, and it applies what its own disk holds. It must make room for another.
+    The other replicas have healthy disks and hold each entry, but only the leader
+    replies to callers, and it applies only what its own disk holds. It must step down.
     """
     replica = leader()
     assert replica.set_stalled(True, 5.0)
--- a/tests/components/replication/test_storage.py
+++ b/tests/components/replication/test_storage.py
@@ -1,4 +1,4 @@
-"""The data folder after crashes and damage."""
+"""Data folder after crashes and damage."""
 
 import errno
 import os
@@ -53,7 +53,7 @@
     return tmp_path
 
 
-def test_all_that_was_synced_is_there(folder):
+def test_synced_writes_are_restored(folder):
     restored = reopened(folder)
     assert restored.entries == (entry(1), entry(2), entry(3))
     assert restored.hard == HardState(2, "a/1", 3)
@@ -62,10 +62,10 @@
 
 
 def test_a_torn_tail_is_cut_at_every_byte(folder):
-    """The power fails during a write, and the host must start again by itself.
+    """The power fails during a write; the host must restart without manual repair.
 
-    Wherever the last write was cut off, the writes before it are all there and
-    the next write follows them.
+    Wherever the last write was cut off, all earlier writes must be kept and the next
+    write must follow them.
     """
     log = folder / "log-1"
     data = log.read_bytes()
@@ -87,10 +87,10 @@
 
 
 def test_a_damaged_middle_is_reported_at_every_byte(folder):
-    """A bad sector in the middle of the log, and accepted changes would vanish.
+    """A bad sector in the middle of the log must not lose accepted changes.
 
-    Cutting there would drop synced entries behind it, so the process stops and
-    names the file and the offset.
+    Truncating there would drop synced entries after it, so the process must stop and
+    report the file and the offset.
     """
     log = folder / "log-1"
     data = log.read_bytes()
@@ -142,8 +142,8 @@
 def test_a_crash_at_each_step_of_a_snapshot_loses_nothing(folder, monkeypatch):
     """The power fails while a snapshot replaces the log.
 
-    After each sync and each rename, also when the rename itself is lost with the
-    unsynced folder, the folder holds the state from before or after.
+    After each sync and each rename, even if the rename itself is lost with the
+    unsynced folder, the folder must hold the state from before or after.
     """
     copies = []
     names = ("fsync", "rename", "unlink")
@@ -174,11 +174,11 @@
     assert found[-1] == after
 
 
-def test_a_new_name_is_synced_before_the_old_file_goes(folder, monkeypatch):
-    """The power fails after an acknowledgement, and the acknowledged entry is gone.
+def test_a_rename_is_synced_before_the_old_file_is_removed(folder, monkeypatch):
+    """A power loss after an acknowledgement must not lose the acknowledged entry.
 
-    A renamed file may go back to its old name unless the folder is synced, so
-    each rename has a sync of the file before it and of the folder after it.
+    A rename can be undone unless the folder is synced, so each rename needs a sync of
+    the file before it and of the folder after it.
     """
     calls = []
     fsync, rename, unlink = os.fsync, os.rename, os.unlink
@@ -216,7 +216,7 @@
     assert reopened(folder)[3:] == (other, ())
 
 
-def test_a_failed_sync_is_never_tried_again(folder, monkeypatch):
+def test_a_failed_sync_is_never_retried(folder, monkeypatch):
     opened = Storage(folder, "a")
     with monkeypatch.context() as patch:
         patch.setattr(storage.os, "fdatasync", lambda fd: os.stat("/nonexistent"))
@@ -234,7 +234,7 @@
     opened.close()
 
 
-def test_an_identity_that_is_given_up_is_set_aside(folder):
+def test_a_retired_identity_is_moved_aside(folder):
     opened = Storage(folder, "a")
     old = opened.restored.replica
     opened.retire()
@@ -246,11 +246,12 @@
     assert Storage(folder, "b").restored.replica.startswith("b/")
 
 
-def test_full_disk_takes_the_same_write_later(folder, monkeypatch):
-    """The disk of a control host is full for some seconds, and its process ends.
+def test_write_to_a_full_disk_can_be_retried(folder, monkeypatch):
+    """The process of a control host ended because its disk was full for some seconds.
 
-    A write finds room for a part of its bytes only. Taken for a failed sync it would
-    end the process, again at each start; the part is taken back and the write repeated.
+    A write finds space for only a part of its bytes. Treated as a failed sync, it would
+    end the process, again at each start; instead the part is truncated and the write
+    retried.
     """
     opened = Storage(folder, "a")
     write = os.write
--- a/tests/components/replication/test_wire.py
+++ b/tests/components/replication/test_wire.py
@@ -1,4 +1,4 @@
-"""Tests of the messages of replicas on their way through links."""
+"""Messages of replicas as frames of links."""
 
 import pytest
 
