--- a/bitterntiller/components/node/__init__.py
+++ b/bitterntiller/components/node/__init__.py
@@ -1,4 +1,4 @@
-"""The session of every process with control: lease, configuration, directory."""
+"""The client side of control in each process: lease, configuration, directory."""
 
 from functools import partial
 
@@ -14,7 +14,7 @@
 ) -> NodeCoordinator:
     """Send heartbeats to control until the process unloads.
 
-    parse reads the documents of configurations.
+    parse validates and parses configuration documents.
     """
     node = NodeCoordinator(runtime, parse)
     runtime.add_diagnostics("node", partial(diagnostics.describe, node))
--- a/bitterntiller/components/node/client.py
+++ b/bitterntiller/components/node/client.py
@@ -1,4 +1,4 @@
-"""Finds the leader of control and calls it."""
+"""Client that finds the leader of control and calls it."""
 
 from typing import Any
 
@@ -15,7 +15,7 @@
 
 
 class ControlClient:
-    """Calls the leader, wherever it is at the moment."""
+    """Calls the current leader of control and follows leadership changes."""
 
     def __init__(
         self, links: Links, clock: Clock, addresses: list[str], call_timeout: float
@@ -29,11 +29,11 @@
         self.leader = addresses[0] if addresses else ""
 
     def set_discovered(self, addresses: list[str]) -> None:
-        """Try these hosts of control too, besides those of the settings."""
+        """Set the control hosts to try in addition to those in the settings."""
         self._addresses = list(dict.fromkeys([*addresses, *self._seeds]))
 
     def set_seeds(self, addresses: list[str]) -> None:
-        """Replace the hosts that the settings name; for changed settings."""
+        """Replace the control hosts from the settings, after the settings changed."""
         known = [item for item in self._addresses if item not in self._seeds]
         self._seeds = addresses
         self.set_discovered(known)
@@ -41,10 +41,10 @@
     async def async_call_leader(self, message: Any, timeout: float) -> Any:
         """Return the leader's reply to a message, within timeout seconds.
 
-        The message may reach a leader more than once, so it has to carry what
-        makes it idempotent: a change id, or the request id of a claim. None
-        when no leader answered in time, a reply with status unknown when that
-        is the last that was heard; both leave open whether it was carried out.
+        The message may reach a leader more than once, so it must be idempotent, by a
+        change id or the request id of a claim. Return None if no leader replied in
+        time, or a reply with status unknown if one was received; in both cases the
+        message may or may not have been applied.
         """
         ends = self._clock.now() + timeout
         unknown = None
@@ -63,9 +63,9 @@
         return unknown
 
     async def async_call_once(self, message: Any, timeout: float) -> Any:
-        """Call the host taken for the leader once; None without an answer.
+        """Call the presumed leader once; return None if it does not reply.
 
-        Whatever the answer says of the leader is followed by the next call.
+        The next call goes to the leader that the reply names, if any.
         """
         address = self.leader
         try:
@@ -78,11 +78,11 @@
         return reply
 
     async def async_call_all(self, message: Any, status: str, timeout: float) -> Any:
-        """Call all known hosts of control at once; return the first reply of a status.
+        """Call all known control hosts concurrently; return the first with a status.
 
-        For a host that knows no leader: after a loss of all of control any of its hosts
-        may lead, and those that are still down answer nothing. A leader that they name
-        is called too. None when none of them answers so.
+        For a host that knows no leader: after a restart of all control hosts, any of
+        them may lead, and those that are still down do not reply. If a reply names a
+        leader that was not called, call that one. Return None without such a reply.
         """
         called = set(self._addresses)
         async with curio.TaskGroup() as group:
@@ -112,7 +112,7 @@
         return reply
 
     def _advance_leader(self, address: str, hint: str) -> None:
-        """Take the hinted host for the leader, or the next of the known ones."""
+        """Select the hinted host as presumed leader, or else the next known one."""
         if self.leader != address:
             return
         if hint and hint != address:
--- a/bitterntiller/components/node/configuration.py
+++ b/bitterntiller/components/node/configuration.py
@@ -17,14 +17,14 @@
 
 
 class Prepared(NamedTuple):
-    """A configuration that was parsed and is not yet in force."""
+    """A parsed configuration that is not yet in force."""
 
     document: dict[str, Any]
     config: Config
 
 
 class NodeConfig:
-    """Applies versions in order only, never a lower one; a core ConfigView."""
+    """The configuration in force; its version only increases. A core ConfigView."""
 
     def __init__(self, parse: ParseConfig) -> None:
         self._parse = parse
@@ -33,7 +33,7 @@
 
     @property
     def version(self) -> int:
-        """The version in force, 0 before the first."""
+        """The version in force, 0 before the first configuration."""
         return self._config.version
 
     @property
@@ -42,17 +42,16 @@
         return self._config
 
     def apply(self, reply: Any) -> bool:
-        """Apply what a messages.HeartbeatReply carries; tell if it changed."""
+        """Apply the update in a messages.HeartbeatReply; return whether it changed."""
         return self.activate(self.prepare(reply))
 
     def prepare(self, reply: Any) -> Prepared | None:
-        """Parse what a messages.HeartbeatReply carries; None for nothing newer.
+        """Parse the update in a messages.HeartbeatReply; None if it is not newer.
 
-        Changes nothing, so it may run in a thread. A reply may arrive after a
-        newer one, from the same leader or from one deposed since; what it
-        carries is then dropped. Raise ConfigGapError when the changes start
-        after the version in force, and CodedError when the document can't be
-        read; the version in force stays.
+        It changes no state, so it may run in a thread. A reply may arrive after a newer
+        one, from the same leader or from one deposed since; it is then ignored. Raise
+        ConfigGapError if the changes do not follow the version in force, and CodedError
+        if the document is invalid; the version in force then remains.
         """
         if reply.config_version <= self.version:
             return None
@@ -64,18 +63,20 @@
             if change.version <= version:
                 continue
             if change.version != version + 1:
-                raise ConfigGapError(f"version {change.version} follows {version}")
+                raise ConfigGapError(
+                    f"version {change.version} does not follow {version}"
+                )
             document = apply_patch(document, json.loads(change.patch))
             version = change.version
         if version != reply.config_version:
-            raise ConfigGapError(f"changes up to {version} of {reply.config_version}")
+            raise ConfigGapError(f"changes end at {version} of {reply.config_version}")
         return self._parsed(document, version)
 
     def _parsed(self, document: dict[str, Any], version: int) -> Prepared:
         return Prepared(document, self._parse(document, version))
 
     def should_parse_in_thread(self, reply: Any) -> bool:
-        """Tell whether preparing a messages.HeartbeatReply takes milliseconds."""
+        """Return whether the update in a reply takes milliseconds to parse."""
         if reply.config_version <= self.version:
             return False
         if len(reply.config or b"") > LARGE_CONFIG_BYTES:
@@ -84,7 +85,7 @@
         return len(workspaces) > LARGE_CONFIG_WORKSPACES
 
     def activate(self, prepared: Prepared | None) -> bool:
-        """Put a configuration in force; False for none, or an older one."""
+        """Put a configuration in force; return False if it is None or not newer."""
         if prepared is None or prepared.config.version <= self.version:
             return False
         self._document, self._config = prepared
--- a/bitterntiller/components/node/const.py
+++ b/bitterntiller/components/node/const.py
@@ -1,4 +1,4 @@
-"""Names and bounds of the node part."""
+"""Constants of the node component."""
 
 from bitterntiller.core.clock import MAX_CLOCK_DRIFT as MAX_CLOCK_DRIFT
 
@@ -7,21 +7,21 @@
 STATUS_UNKNOWN = "unknown"
 
 ATTEMPTS_PER_LEASE = 4
-"""A heartbeat waits no longer than this part of a lease for its reply."""
+"""A heartbeat times out after a lease divided by this number."""
 
 LARGE_CONFIG_BYTES = 16 * 1024
 LARGE_CONFIG_WORKSPACES = 50
-"""A configuration beyond either is parsed in a thread.
+"""A configuration that exceeds either is parsed in a thread.
 
-One of 950 workspaces takes 40 ms: in the event loop, all answers that stream
-through this host would stand still for as long.
+Parsing one with 950 workspaces takes 40 ms; in the event loop it would stall all
+responses that stream through this host for that time.
 """
 
 MAX_RETRY_PAUSE = 0.3
-"""Seconds; while control has no leader, many nodes must not keep it busy.
+"""Seconds; bounds the load of many nodes on control while it has no leader.
 
 Short enough to find a new leader before the lease ends.
 """
 
 RETRY_PAUSE = 0.1
-"""Seconds before the addresses of control are tried again from the first."""
+"""Seconds before the next attempt after a failed call to control."""
--- a/bitterntiller/components/node/coordinator.py
+++ b/bitterntiller/components/node/coordinator.py
@@ -1,4 +1,4 @@
-"""The session of a process with control."""
+"""Heartbeats to control and the state received in reply."""
 
 import random
 from collections.abc import Callable
@@ -31,18 +31,18 @@
 from bitterntiller.protocol import messages
 
 Listener = Callable[[], None]
-"""Called after a change; never awaits."""
+"""Called after a change; must not await."""
 
 
 class _Preparation(NamedTuple):
-    """usable is False when the node can't work under the configuration."""
+    """The result of parsing a reply; usable is False if the node can't apply it."""
 
     usable: bool
     prepared: Prepared | None
 
 
 class NodeCoordinator:
-    """Sends heartbeats and holds what comes back: lease, configuration, directory.
+    """Sends heartbeats and holds the received lease, configuration and directory.
 
     lease, config and directory are a core Lease, ConfigView and DirectoryView.
     """
@@ -76,15 +76,15 @@
         return self.directory.hosts_by_name
 
     def add_config_listener(self, listener: Listener) -> Callable[[], None]:
-        """Have a callback called after each new configuration; return the removal."""
+        """Call listener after each new configuration; return its removal function."""
         return self._add_listener("config", listener)
 
     def add_directory_listener(self, listener: Listener) -> Callable[[], None]:
-        """Have a callback called after each new directory; return the removal."""
+        """Call listener after each new directory; return its removal function."""
         return self._add_listener("directory", listener)
 
     def add_upstreams_listener(self, listener: Listener) -> Callable[[], None]:
-        """Have a callback called after each new list; return the removal."""
+        """Call listener after each new upstream list; return its removal function."""
         return self._add_listener("upstreams", listener)
 
     def _add_listener(self, kind: str, listener: Listener) -> Callable[[], None]:
@@ -98,14 +98,14 @@
         return remove
 
     def set_draining(self) -> None:
-        """Have control give this process no more pools; for a clean stop."""
+        """Ask control to assign no more pools to this process, for a graceful stop."""
         self._draining = True
 
     async def async_release_pools(self, pools: list[str], timeout: float) -> bool:
-        """Give pools back that this process no longer acts for; for a clean stop.
+        """Release pools that this process no longer acts for, for a graceful stop.
 
-        False when control did not answer in timeout seconds; the pools then
-        move when the owner lease has run out.
+        Return False if control did not confirm within timeout seconds; the pools then
+        move once the owner lease has expired.
         """
         self.set_draining()
         self.directory.release(pools)
@@ -118,7 +118,7 @@
         return reply is not None and reply.status == "ok"
 
     async def async_run(self) -> None:
-        """Send heartbeats for ever."""
+        """Send heartbeats until cancelled."""
         failures = 0
         while True:
             began = self._clock.now()
@@ -135,7 +135,7 @@
         return max(began + self._period - self._clock.now(), 0.0)
 
     async def async_send_heartbeat(self) -> bool:
-        """Send one heartbeat; tell whether the lease was extended by it."""
+        """Send one heartbeat; return whether it extended the lease."""
         sent_at = self._clock.now()
         reply = await self._async_call_control()
         if reply is None or reply.status != STATUS_GRANTED:
@@ -147,10 +147,10 @@
         return self._apply_prepared(reply, sent_at, prepared)
 
     async def _async_call_control(self) -> Any:
-        """Return the reply to a heartbeat of the present time, None without one.
+        """Send a heartbeat and return its reply, None without one.
 
-        Without a lease all hosts of control are asked: none of them is known to lead,
-        and the host can take no work until one answers.
+        Without a lease it goes to all hosts of control: none of them is known to lead,
+        and this host can't take requests until one grants a lease.
         """
         wait = min(self._timings.link_call, self._timings.lease / ATTEMPTS_PER_LEASE)
         heartbeat = self.make_heartbeat()
@@ -160,7 +160,7 @@
         return await client.async_call_all(heartbeat, STATUS_GRANTED, wait)
 
     def make_heartbeat(self) -> Any:
-        """Return the messages.Heartbeat of now."""
+        """Return a messages.Heartbeat with the current state."""
         settings = self._runtime.settings
         return messages.Heartbeat(
             host=settings.host,
@@ -177,24 +177,27 @@
         )
 
     def apply_reply(self, reply: Any, sent_at: float) -> bool:
-        """Take a granting messages.HeartbeatReply; tell if it extends the lease.
+        """Apply a granting messages.HeartbeatReply; return whether the lease extends.
 
-        The lease is for the configuration that the reply stands for: were it
-        extended though the configuration can't be applied, this node would go
-        on under an old one for as long as control is reached.
+        The lease is valid for the configuration version in the reply. If it were
+        extended although that configuration can't be applied, this node would use an
+        old one for as long as it can reach control.
         """
         return self._apply_prepared(reply, sent_at, self._prepare(reply))
 
     def _prepare(self, reply: Any) -> _Preparation:
-        """Parse the configuration of a reply; may run in a thread."""
+        """Parse the configuration in a reply; may run in a thread."""
         try:
             return _Preparation(True, self.config.prepare(reply))
         except ConfigGapError as error:
-            logging.warning("asking for the whole configuration: %s", error)
+            logging.warning(
+                "gap in configuration changes, requesting the whole configuration: %s",
+                error,
+            )
             self._request_full_config = True
         except (CodedError, ValueError) as error:
             logging.error(
-                "configuration %d not usable: %s", reply.config_version, error
+                "cannot apply configuration %d: %s", reply.config_version, error
             )
             self._runtime.metrics.count("node.config.unusable")
         return _Preparation(False, None)
@@ -207,8 +210,8 @@
         config_changed = self.config.activate(preparation.prepared)
         self._request_full_config = False
         self._period = (reply.next_ms or 0) / 1000 or self._timings.heartbeat
-        # Looked at only after its renewal, a lease that ended meanwhile would show
-        # nowhere but in the requests that were refused.
+        # If it were checked only after the renewal, an expired lease would not be
+        # reported, although requests were refused in the meantime.
         self._report_lease_change()
         self.lease.extend(sent_at, reply.lease_ms)
         self._report_lease_change()
@@ -245,6 +248,6 @@
         valid = self.lease.valid()
         if valid != self._reported_lease_valid:
             self._reported_lease_valid = valid
-            logging.info("configuration lease %s", "held" if valid else "lost")
+            logging.info("configuration lease %s", "acquired" if valid else "lost")
             events.emit("lease", held=valid, leader=self.control_client.leader)
             self._runtime.metrics.gauge("node.lease.valid", int(valid))
--- a/bitterntiller/components/node/diagnostics.py
+++ b/bitterntiller/components/node/diagnostics.py
@@ -1,4 +1,4 @@
-"""The share of the node part in the dump of a process's state."""
+"""The section of the node component in the state dump of a process."""
 
 from typing import Any
 
@@ -6,7 +6,7 @@
 
 
 def describe(node: NodeCoordinator) -> dict[str, Any]:
-    """Return lease, versions, hosts and owners as this process knows them."""
+    """Return lease, versions, hosts and owners as last received."""
     return {
         "lease_valid": node.lease.valid(),
         "lease_left_s": round(max(node.lease.remaining(), 0.0), 3),
--- a/bitterntiller/components/node/directory.py
+++ b/bitterntiller/components/node/directory.py
@@ -1,4 +1,4 @@
-"""The hosts and the owners of pools, as a node last heard them."""
+"""The hosts and pool owners, as a node last received them from control."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 
 class NodeDirectory:
-    """The newest directory; a core DirectoryView."""
+    """The latest directory; a core DirectoryView."""
 
     def __init__(self, host: str, incarnation: str) -> None:
         self._host = host
@@ -18,11 +18,11 @@
         self.owners_by_pool: dict[str, PoolOwner] = {}
 
     def owner(self, pool: str) -> Ownership | None:
-        """Return the owner of a pool, None when nobody has it.
+        """Return the owner of a pool, None if it has none.
 
-        A process started anew does not take the ownership of the one before it
-        on the same host for its own: that one may have granted work under the
-        epoch which this one knows nothing of. It waits for an epoch of its own.
+        A restarted process does not use the ownership of the previous process on its
+        host: that one may have granted requests under its epoch which this process
+        does not know about. It waits until it gets an epoch of its own.
         """
         owner = self.owners_by_pool.get(pool)
         if owner is None:
@@ -34,10 +34,10 @@
         return Ownership(owner.host, owner.address, owner.epoch)
 
     def release(self, pools: list[str]) -> None:
-        """Stop to be the owner of pools, before control hears of it.
+        """Give up the ownership of pools before the release is sent to control.
 
-        Control may settle another owner as soon as it has the release, long
-        before this process hears of that.
+        Control may assign another owner as soon as it has the release, long before
+        this process receives the new directory.
         """
         for pool in pools:
             owner = self.owner(pool)
@@ -45,11 +45,11 @@
                 self._released.add((pool, owner.epoch))
 
     def apply(self, directory: Any) -> bool:
-        """Apply a messages.Directory; tell whether anything changed.
+        """Apply a messages.Directory; return whether anything changed.
 
-        An older one is dropped. While a new leader has not heard all hosts, the
-        ones that it lacks are kept, so that a failover of control does not cut
-        the hosts off from each other.
+        An older one is ignored. A partial one comes from a new leader that has not yet
+        received heartbeats of all hosts: hosts missing from it are kept, so that a
+        failover of control does not disconnect hosts from each other.
         """
         if directory is None or directory.version <= self.version:
             return False
--- a/bitterntiller/components/node/errors.py
+++ b/bitterntiller/components/node/errors.py
@@ -1,9 +1,9 @@
-"""Errors of the node part."""
+"""Errors of the node component."""
 
 from bitterntiller.core.errors import CodedError
 
 
 class ConfigGapError(CodedError):
-    """Raised for changes that do not follow on the configuration in force."""
+    """Raised for changes that do not continue from the configuration in force."""
 
     code = "config-gap"
--- a/bitterntiller/components/node/lease.py
+++ b/bitterntiller/components/node/lease.py
@@ -5,10 +5,10 @@
 
 
 class NodeLease:
-    """Tells at the moment of use whether the node may take and send work.
+    """Whether the node may accept and send requests, evaluated at the moment of use.
 
-    No timer ends it: a process that was frozen finds the lease ended by the
-    first look at the clock, before it does anything with it.
+    It expires by comparison with the clock, not by a timer: a process that was frozen
+    finds the lease expired at the first check, before it acts.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -16,20 +16,20 @@
         self._ends = float("-inf")
 
     def valid(self) -> bool:
-        """Tell whether the lease runs now."""
+        """Return whether the lease is valid now."""
         return self._clock.now() < self._ends
 
     def remaining(self) -> float:
-        """Return the seconds that are left, 0 or less when it has ended."""
+        """Return the seconds that remain, 0 or less if the lease has expired."""
         return self._ends - self._clock.now()
 
     def extend(self, sent_at: float, lease_ms: int) -> None:
-        """Extend the lease by a grant for a heartbeat sent at a time.
+        """Extend the lease by a grant for the heartbeat that was sent at sent_at.
 
-        Counted from the sending, since the leader may have confirmed its lead
-        at any moment after that: counted from the reply, a delayed reply would
-        let the node work on under a configuration replaced long ago. Shortened
-        by the drift, because this clock may run slower than the leader's.
+        The lease starts when the heartbeat was sent, since the leader may have
+        confirmed leadership at any time after that. Counted from the reply, a delayed
+        reply would let the node use a configuration that was replaced long ago. It is
+        shortened by the maximum drift, as this clock may run slower than the leader's.
         """
         ends = sent_at + lease_ms / 1000 * (1 - MAX_CLOCK_DRIFT)
         self._ends = max(self._ends, ends)
--- a/bitterntiller/components/node/models.py
+++ b/bitterntiller/components/node/models.py
@@ -1,10 +1,10 @@
-"""What a node hears from control."""
+"""Directory entries that a node receives from control."""
 
 from typing import NamedTuple
 
 
 class Host(NamedTuple):
-    """A host as the directory has it; address is the internal one, IP:port."""
+    """A host in the directory; address is its internal address, IP:port."""
 
     name: str
     address: str
@@ -14,7 +14,7 @@
 
 
 class PoolOwner(NamedTuple):
-    """The process that owns a pool, under an epoch."""
+    """The process that owns a pool and the epoch of its ownership."""
 
     host: str
     address: str
--- a/bitterntiller/components/node/owners.py
+++ b/bitterntiller/components/node/owners.py
@@ -1,11 +1,11 @@
-"""Owners of pools that follow from membership alone.
-
-Control assigns a pool to one process at a time and waits out its lease before it
-assigns another, which costs seconds without grants when an owner dies. Two owners at
-once cost places at upstreams, never a promise, since the entry host that read a request
-is the only one that sends it. So here every entry host takes the first host that
-answers it, in an order that follows from the names of pool and hosts; all who see the
-same hosts agree.
+"""Pool owners that are computed from the membership alone.
+
+Control assigns a pool to one process at a time and waits for its lease to expire before
+it assigns another, which means seconds without grants when an owner dies. Two owners at
+the same time only waste capacity at upstreams and break no guarantee, since the entry
+host that read a request is the only one that sends it. Here, every entry host therefore
+chooses the first host that responds to it, in an order computed from the names of pool
+and hosts; entry hosts with the same view of the hosts choose the same owner.
 """
 
 from collections.abc import Mapping
@@ -19,10 +19,10 @@
 
 
 class RendezvousOwners:
-    """Owners by rendezvous over the hosts that are not under suspicion.
+    """Owners by rendezvous hashing over the hosts that are not suspected to be down.
 
-    A core DirectoryView. Hosts of control go first, as they have no callers of their
-    own; entry hosts stand in when none of those answers.
+    A core DirectoryView. Hosts of control come first, as they have no callers of their
+    own; entry hosts are used when no control host responds.
     """
 
     def __init__(self, directory: DirectoryView) -> None:
@@ -38,7 +38,7 @@
         return self._directory.hosts_by_name
 
     def owner(self, pool: str) -> Ownership | None:
-        """Return the owner of a pool, None when no host can be one."""
+        """Return the owner of a pool, None if no host can own it."""
         for host in self.candidates(pool):
             if host.name not in self._suspects:
                 incarnation = self._incarnation_by_host.get(host.name, "")
@@ -46,7 +46,7 @@
         return None
 
     def candidates(self, pool: str) -> list[Host]:
-        """Return the hosts that may own a pool, the first choice first."""
+        """Return the hosts that may own a pool, in order of preference."""
         hosts = self._directory.hosts_by_name
         if hosts is not self._ordered:
             self._ordered = hosts
@@ -61,33 +61,33 @@
         return order
 
     def record_answer(self, host: str, incarnation: str) -> bool:
-        """Take note that a host answers; tell whether that is news."""
-        news = host in self._suspects
-        news = news or self._incarnation_by_host.get(host) != incarnation
+        """Record that a host has responded; return whether that changes its state."""
+        changed = host in self._suspects
+        changed = changed or self._incarnation_by_host.get(host) != incarnation
         self._suspects.discard(host)
         self._incarnation_by_host[host] = incarnation
-        return news
+        return changed
 
     def incarnation(self, host: str) -> str:
-        """Return the incarnation in which a host has answered last, or nothing."""
+        """Return the incarnation of a host's last response, empty without one."""
         return self._incarnation_by_host.get(host, "")
 
     def suspect(self, host: str) -> bool:
-        """Pass a host over until it answers again; tell whether that is news."""
+        """Skip a host until it responds again; return False if it already was."""
         if host in self._suspects:
             return False
         self._suspects.add(host)
         return True
 
     def is_suspect(self, host: str) -> bool:
-        """Tell whether a host is passed over."""
+        """Return whether a host is skipped."""
         return host in self._suspects
 
 
 class SelfOwner:
-    """Names this process the owner of every pool; a core DirectoryView.
+    """A core DirectoryView in which this process owns every pool.
 
-    Where entry hosts choose their owners, a process acts for whoever turns to it.
+    Where entry hosts choose their owners, a process serves every host that contacts it.
     """
 
     def __init__(self, directory: DirectoryView, host: str, address: str) -> None:
--- a/bitterntiller/components/node/upstreams.py
+++ b/bitterntiller/components/node/upstreams.py
@@ -1,17 +1,17 @@
-"""The registered upstreams, as a node last heard them from control."""
+"""The registered upstreams, as a node last received them from control."""
 
 from collections.abc import Mapping
 from typing import Any
 
 MAX_REMOVED_UPSTREAMS = 1000
-"""Names of upstreams that were listed once and are remembered: far more than leave
-while an owner may still grant by an old list."""
+"""Names of removed upstreams that are kept: far more than can leave while an owner may
+still grant requests by an old list."""
 
 STATE_LEAVING = "leaving"
 
 
 class NodeUpstreams:
-    """The newest list; a core UpstreamsView."""
+    """The latest list of upstreams; a core UpstreamsView."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -19,10 +19,10 @@
         self._removed: dict[str, None] = {}
 
     def apply(self, listed: Any) -> bool:
-        """Take a messages.UpstreamList; tell whether it is newer than the one held.
+        """Apply a messages.UpstreamList; return whether it is newer.
 
-        The version is an index of the log, so a list of a leader that was deposed
-        since, or of a reply that was overtaken, is known by a lower one.
+        The version is a log index, so a list from a deposed leader or from a delayed
+        reply has a lower one.
         """
         if listed is None or listed.version <= self.version:
             return False
@@ -37,12 +37,12 @@
         return True
 
     def labels(self, name: str) -> Mapping[str, str]:
-        """Return the labels of an upstream, none for an unheard one."""
+        """Return the labels of an upstream, none for an unknown one."""
         announced = self.by_name.get(name)
         return {} if announced is None else announced.labels
 
     def left(self, name: str) -> bool:
-        """Tell whether an upstream leaves or has left; False for an unheard one."""
+        """Return whether an upstream is leaving or has left; False if unknown."""
         announced = self.by_name.get(name)
         if announced is None:
             return name in self._removed
--- a/bitterntiller/components/node/versions.py
+++ b/bitterntiller/components/node/versions.py
@@ -1,4 +1,4 @@
-"""Which versions of upstreams may get requests, as a node last heard from control."""
+"""Rules for which upstream versions may get requests, as received from control."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -8,16 +8,16 @@
 
 
 class NodeVersions:
-    """The newest version rules; a core VersionsView."""
+    """The latest version rules; a core VersionsView."""
 
     def __init__(self) -> None:
         self.version = 0
         self._rules_by_service: dict[str, VersionRules] = {}
 
     def apply(self, listed: Any) -> bool:
-        """Take a messages.VersionRulesList; tell whether it is newer than the one held.
+        """Apply a messages.VersionRulesList; return whether it is newer.
 
-        The version is an index of the log: an overtaken list is known by a lower one.
+        The version is a log index, so a delayed list has a lower one.
         """
         if listed is None or listed.version <= self.version:
             return False
@@ -31,15 +31,15 @@
         return True
 
     def rules(self, service: str) -> VersionRules:
-        """Return the rules of a service; any version may serve one without."""
+        """Return the rules of a service; any version is allowed if it has none."""
         return self._rules_by_service.get(service, ANY_VERSION)
 
     def may_run(self, service: str, labels: Mapping[str, str]) -> bool:
-        """Tell whether an upstream with these labels may get requests of a service."""
+        """Return whether an upstream with these labels may get a service's requests."""
         return self.rules(service).may_run(labels.get(LABEL_VERSION, ""))
 
     def describe(self) -> dict[str, Any]:
-        """Return the rules for the dump of the process."""
+        """Return the rules for the state dump."""
         return {
             "version": self.version,
             "rules_by_service": {
--- a/tests/components/node/test_coordinator.py
+++ b/tests/components/node/test_coordinator.py
@@ -1,4 +1,4 @@
-"""A node's session with control, on fakes of links and clock."""
+"""The heartbeats of a node to control, on fakes of links and clock."""
 
 import threading
 
@@ -33,11 +33,11 @@
     assert (await control.async_change("operator", change)).status == "accepted"
 
 
-def test_cut_off_for_hours_and_back():
+def test_reconnects_after_hours_without_control():
     """
-    A host loses control for hours while hundreds of changes happen. It takes no
-    new work once its lease has ended, and after the first heartbeat that gets
-    through it works under the newest configuration.
+    A host can't reach control for hours, while hundreds of changes are made. It accepts
+    no requests once its lease has expired, and the first successful heartbeat brings it
+    to the latest configuration.
     """
 
     async def main(control, node, clock, network):
@@ -58,10 +58,10 @@
     run_pair(main)
 
 
-def test_a_frozen_process_finds_its_lease_ended():
+def test_frozen_process_finds_its_lease_expired():
     """
-    A virtual machine is suspended between a heartbeat and its answer. When it
-    wakes, the answer is there, but the lease it grants has long ended.
+    A virtual machine is suspended between a heartbeat and its reply. When it resumes,
+    the reply has arrived, but the lease that it grants has expired.
     """
 
     async def main(control, node, clock, network):
@@ -74,10 +74,10 @@
     run_pair(main)
 
 
-def test_a_large_configuration_is_applied_off_the_event_loop():
+def test_large_configuration_is_parsed_outside_the_event_loop():
     """
-    A deployment has a thousand workspaces. Each change of it takes 40 ms to
-    parse; parsed in the event loop, all streams of the host would halt for it.
+    With a thousand workspaces, each change takes 40 ms to parse. In the event loop,
+    that would stall all streams of the host.
     """
 
     async def main(control, node, clock, network):
@@ -100,10 +100,10 @@
     run_pair(main)
 
 
-def test_a_few_changes_come_as_patches():
+def test_few_changes_are_sent_as_patches():
     async def main(control, node, clock, network):
-        heard = []
-        remove = node.add_config_listener(lambda: heard.append(node.config.version))
+        versions = []
+        remove = node.add_config_listener(lambda: versions.append(node.config.version))
         await async_change(control, 1)
         await node.async_send_heartbeat()
         await async_change(control, 2)
@@ -115,16 +115,16 @@
         remove()
         await async_change(control, 4)
         await node.async_send_heartbeat()
-        assert (heard, node.config.version) == ([1, 3], 4)
+        assert (versions, node.config.version) == ([1, 3], 4)
 
     run_pair(main)
 
 
-def test_no_lease_for_a_configuration_that_can_not_be_used():
+def test_no_lease_under_an_unusable_configuration():
     """
-    A host with older software gets a configuration that it can't read. Going on
-    under the version before would break the promise that the new one is in
-    force: it takes no new work until it can.
+    A host with older software gets a configuration that it can't parse. Continuing with
+    the previous version would break the guarantee that the new one is in force, so the
+    host accepts no requests until it can apply it.
     """
 
     async def main(control, node, clock, network):
@@ -137,7 +137,7 @@
     run_pair(main)
 
 
-def test_changes_with_a_gap_are_refused_and_the_whole_is_asked_for():
+def test_gap_in_changes_requests_the_whole_configuration():
     async def main(control, node, clock, network):
         gap = messages.HeartbeatReply(
             status="granted",
@@ -157,10 +157,10 @@
     run_pair(main)
 
 
-def test_the_leader_is_found_and_followed():
+def test_client_follows_the_leader():
     """
-    The first known control host is down and the second names a leader that
-    died. The client goes on to the others until one answers as leader.
+    The first known control host is down and the second names a leader that died. The
+    client tries the others until one replies as leader.
     """
 
     async def main(control, node, clock, network):
@@ -183,10 +183,11 @@
     run_pair(main, control=(9, 8, 1))
 
 
-def test_hosts_stay_known_while_a_new_leader_has_not_heard_them():
+def test_partial_directory_keeps_missing_hosts():
     """
-    Control fails over. The new leader has heard one host only; the others must
-    stay reachable for the pool owners until they are heard again or known lost.
+    Control fails over and the new leader has heartbeats of one host only. The others
+    must stay in the directory, reachable for the pool owners, until they send
+    heartbeats or are known to be lost.
     """
 
     async def main(control, node, clock, network):
@@ -207,16 +208,16 @@
     run_pair(main)
 
 
-def test_a_lease_that_ends_between_two_heartbeats_is_told(monkeypatch):
+def test_lease_that_expires_between_heartbeats_is_reported(monkeypatch):
     """
-    Callers are refused for want of a lease, and no log line tells that it ended.
-    The lease runs out while a heartbeat is on its way or its sender waits to try
-    again, and the next look at it comes after the reply has renewed it.
+    Guards against requests refused for lack of a lease without a log line that the
+    lease expired. It expires while a heartbeat is in transit or its retry is pending,
+    and is next checked only after the reply has renewed it.
     """
-    told = []
+    emitted = []
     monkeypatch.setattr(
         "bitterntiller.core.events.emit",
-        lambda kind, **fields: told.append((kind, fields.get("held"))),
+        lambda kind, **fields: emitted.append((kind, fields.get("held"))),
     )
 
     async def main(control, node, clock, network):
@@ -225,7 +226,7 @@
         clock.advance(2.98)
         assert not node.lease.valid()
         assert await node.async_send_heartbeat()
-        leases = [held for kind, held in told if kind == "lease"]
+        leases = [held for kind, held in emitted if kind == "lease"]
         assert leases == [True, False, True]
 
     run_pair(main)
--- a/tests/components/node/test_owners.py
+++ b/tests/components/node/test_owners.py
@@ -1,4 +1,4 @@
-"""Owners of pools that follow from membership."""
+"""Pool owners that are computed from the membership."""
 
 from bitterntiller.components.node.models import Host
 from bitterntiller.components.node.owners import RendezvousOwners
@@ -20,15 +20,15 @@
         self.hosts_by_name = {host.name: host for host in hosts}
 
 
-def test_all_who_see_the_same_hosts_agree():
+def test_same_hosts_give_the_same_owner():
     pools = [f"pool-{number}" for number in range(40)]
     chosen = [RendezvousOwners(Directory()).owner(pool).host for pool in pools]
     assert chosen == [RendezvousOwners(Directory()).owner(pool).host for pool in pools]
     assert set(chosen) == set(CORE)
 
 
-def test_next_host_stands_in_until_the_first_answers_again():
-    """No grants come for seconds after the owner has died."""
+def test_next_host_owns_until_the_first_responds_again():
+    """Guards against seconds without grants after the owner died."""
     owners = RendezvousOwners(Directory())
     first = owners.owner("llm")
     assert owners.suspect(first.host)
@@ -39,8 +39,8 @@
     assert owners.owner("llm").host == first.host
 
 
-def test_entry_hosts_stand_in_for_all_of_control():
-    """Nothing is granted while all hosts of control are started anew."""
+def test_entry_hosts_own_pools_while_control_is_down():
+    """Guards against a time without grants while all hosts of control restart."""
     owners = RendezvousOwners(Directory())
     for host in CORE:
         owners.suspect(host)
@@ -50,8 +50,8 @@
     assert owners.owner("llm") is None
 
 
-def test_restarted_owner_is_another_owner():
-    """An owner dies and is back within a moment, and knows nothing of what waits."""
+def test_restarted_owner_is_a_different_owner():
+    """An owner restarts quickly and has no record of the waiting requests."""
     owners = RendezvousOwners(Directory())
     host = owners.owner("llm").host
     owners.record_answer(host, "i1")
--- a/tests/components/node/test_search.py
+++ b/tests/components/node/test_search.py
@@ -1,4 +1,4 @@
-"""A node that knows no leader of control."""
+"""The search for the leader of control by a node that knows none."""
 
 import curio
 
@@ -17,7 +17,7 @@
 
 
 class FakeLinks:
-    """Answers by address after some seconds; who has no answer is not reached."""
+    """Replies by address after a delay; an address without a reply is unreachable."""
 
     def __init__(self, answer_by_address):
         self.answer_by_address = answer_by_address
@@ -39,10 +39,10 @@
     return found, client, links
 
 
-def test_the_host_that_leads_is_found_at_once():
-    """A host without a lease asks one host of control after the other.
+def test_leader_is_found_in_one_call():
+    """Guards against a host without a lease that calls control hosts one by one.
 
-    The first ones are down, and each costs a timeout while requests are refused.
+    The first ones are down, and each costs a timeout during which requests are refused.
     """
     granted = reply(GRANTED)
     found, client, _ = search({"c:1": (0.0, granted), "b:1": (9.0, None)})
@@ -50,8 +50,8 @@
     assert client.leader == "c:1"
 
 
-def test_a_leader_that_is_no_seed_is_called():
-    """Control leads from a host that the settings do not name."""
+def test_leader_outside_the_settings_is_called():
+    """The leader of control is on a host that is not in the settings."""
     granted = reply(GRANTED)
     refused = reply("not-leader", "x:1")
     found, client, links = search({"a:1": (0.0, refused), "x:1": (0.0, granted)})
@@ -59,7 +59,7 @@
     assert (client.leader, links.called[-1]) == ("x:1", "x:1")
 
 
-def test_nobody_leads():
+def test_no_host_leads():
     refused = reply("not-leader")
     found, client, _ = search({"a:1": (0.0, refused), "b:1": (0.0, refused)})
     assert found is None
--- a/tests/components/node/test_upstreams.py
+++ b/tests/components/node/test_upstreams.py
@@ -1,4 +1,4 @@
-"""What a node knows of upstreams that leave or have left."""
+"""Upstreams that are leaving or have left, as seen by a node."""
 
 from bitterntiller.components.node.upstreams import MAX_REMOVED_UPSTREAMS, NodeUpstreams
 from bitterntiller.protocol import messages
@@ -14,8 +14,8 @@
     return messages.UpstreamList(version=version, upstreams=announced)
 
 
-def test_upstream_that_leaves_or_is_gone_has_left():
-    """Hosts forget an upstream that has left, and take an old grant for it as good."""
+def test_leaving_and_removed_upstreams_have_left():
+    """Guards against using an old grant for an upstream that has left."""
     upstreams = NodeUpstreams()
     upstreams.apply(listed(1, e1="ready", e2="ready"))
     assert not upstreams.left("e1")
@@ -27,7 +27,7 @@
     assert not upstreams.left("unheard")
 
 
-def test_upstream_that_comes_back_has_not_left():
+def test_returning_upstream_has_not_left():
     upstreams = NodeUpstreams()
     upstreams.apply(listed(1, e1="ready"))
     upstreams.apply(listed(2))
@@ -35,7 +35,7 @@
     assert not upstreams.left("e1")
 
 
-def test_upstreams_that_are_gone_are_forgotten_in_the_end():
+def test_removed_upstreams_are_forgotten_eventually():
     upstreams = NodeUpstreams()
     for version in range(1, MAX_REMOVED_UPSTREAMS + 10):
         upstreams.apply(listed(version, **{f"e{version}": "ready"}))
