--- a/bitterntiller/components/node/client.py
+++ b/bitterntiller/components/node/client.py
@@ -78,7 +78,7 @@
         return reply
 
     async def async_call_all(self, message: Any, status: str, timeout: float) -> Any:
-        """Call all known control hosts concurrently; return the first with a status.
+        """Call all known control hosts at once; return the first reply with a status.
 
         For a host that knows no leader: after a restart of all control hosts, any of
         them may lead, and those that are still down do not reply. If a reply names a
--- a/tests/components/node/test_upstreams.py
+++ b/tests/components/node/test_upstreams.py
@@ -18,13 +18,13 @@
     """Guards against using an old grant for an upstream that has left."""
     upstreams = NodeUpstreams()
     upstreams.apply(listed(1, e1="ready", e2="ready"))
-    assert not upstreams.left("e1")
+    assert not upstreams.is_departing("e1")
     upstreams.apply(listed(2, e1="leaving", e2="ready"))
-    assert upstreams.left("e1")
+    assert upstreams.is_departing("e1")
     upstreams.apply(listed(3, e2="ready"))
-    assert upstreams.left("e1")
-    assert not upstreams.left("e2")
-    assert not upstreams.left("unheard")
+    assert upstreams.is_departing("e1")
+    assert not upstreams.is_departing("e2")
+    assert not upstreams.is_departing("unheard")
 
 
 def test_returning_upstream_has_not_left():
@@ -32,12 +32,12 @@
     upstreams.apply(listed(1, e1="ready"))
     upstreams.apply(listed(2))
     upstreams.apply(listed(3, e1="ready"))
-    assert not upstreams.left("e1")
+    assert not upstreams.is_departing("e1")
 
 
 def test_removed_upstreams_are_forgotten_eventually():
     upstreams = NodeUpstreams()
     for version in range(1, MAX_REMOVED_UPSTREAMS + 10):
         upstreams.apply(listed(version, **{f"e{version}": "ready"}))
-    assert not upstreams.left("e1")
-    assert upstreams.left(f"e{MAX_REMOVED_UPSTREAMS}")
+    assert not upstreams.is_departing("e1")
+    assert upstreams.is_departing(f"e{MAX_REMOVED_UPSTREAMS}")
