--- a/bitterntiller/components/replication/identity.py
+++ b/bitterntiller/components/replication/identity.py
@@ -28,6 +28,7 @@
 
 
 def _is_concurrent_boot(boot: int, known: int) -> bool:
+    """Return whether two boots follow the same one, from two copies of a folder."""
     return boot != known and boot >> _RANDOM_BITS == known >> _RANDOM_BITS
 
 
--- a/bitterntiller/components/replication/join_decisions.py
+++ b/bitterntiller/components/replication/join_decisions.py
@@ -89,7 +89,7 @@
         reset_progress(state, replica)
 
 
-def answer(replica: Replica, own: LocalReplica, join: Any, now: float) -> Any:
+def reply_to_join(replica: Replica, own: LocalReplica, join: Any, now: float) -> Any:
     """Return the JoinReply to a host that requests to join."""
     state = replica.state
     if is_empty(state):
--- a/bitterntiller/components/replication/joiner.py
+++ b/bitterntiller/components/replication/joiner.py
@@ -45,7 +45,7 @@
     async def async_on_join(self, host: str, message: Any) -> Any:
         """Reply to a host that requests to join."""
         now = self._runtime.clock.now()
-        reply = join_decisions.answer(self._replica(), self._own(), message, now)
+        reply = join_decisions.reply_to_join(self._replica(), self._own(), message, now)
         await self._wake()
         return reply
 
--- a/bitterntiller/components/replication/repair_decisions.py
+++ b/bitterntiller/components/replication/repair_decisions.py
@@ -40,16 +40,16 @@
     progress = state.progress_by_replica.get(replica)
     if progress is None or not progress.counted:
         return False
-    heard = progress.last_contact > now - state.tuning.election_max
-    return heard and progress.match >= state.caught_up_index
+    responds = progress.last_contact > now - state.tuning.election_max
+    return responds and progress.match >= state.caught_up_index
 
 
 def failure_tolerance(state: State, now: float) -> int | None:
     """Return how many more voters may fail now; None if not the leader."""
     if state.role is not Role.LEADER:
         return None
-    sound = [v for v in voters(state.members) if is_healthy(state, v, now)]
-    return len(sound) - quorum(state.members)
+    healthy = [v for v in voters(state.members) if is_healthy(state, v, now)]
+    return len(healthy) - quorum(state.members)
 
 
 def is_silent(state: State, replica: str, now: float) -> bool:
@@ -98,10 +98,10 @@
 def _next_replacement(
     state: State, learner: Member, commands: list[RepairCommand], now: float
 ) -> tuple[Member, ...] | None:
-    dead = _silent_voter_of_host(state, learner.host, now)
-    if dead is not None:
-        return _without_voter(state, dead, learner, now)
-    command = next((w for w in commands if w.add == learner.host), None)
+    silent = _silent_voter_of_host(state, learner.host, now)
+    if silent is not None:
+        return _without_voter(state, silent, learner, now)
+    command = next((c for c in commands if c.add == learner.host), None)
     if command is None:
         lost = _longest_silent_voter(state, now) if state.tuning.target_voters else None
         return None if lost is None else _without_voter(state, lost, learner, now)
@@ -158,18 +158,18 @@
 
 
 def _without_voter(
-    state: State, dead: Member, learner: Member | None, now: float
+    state: State, removed: Member, learner: Member | None, now: float
 ) -> tuple[Member, ...] | None:
     """Return the members without a voter, and with the learner marked to be promoted.
 
     Return None if the remaining healthy voters are no quorum.
     """
-    kept = tuple(m for m in state.members.all if m != dead)
+    kept = tuple(m for m in state.members.all if m != removed)
     if learner is not None:
         kept = _with_member(Membership(0, kept), learner._replace(promote=True))
     after = Membership(0, kept)
-    sound = [v for v in voters(after) if is_healthy(state, v, now)]
-    return kept if voters(after) and len(sound) >= quorum(after) else None
+    healthy = [v for v in voters(after) if is_healthy(state, v, now)]
+    return kept if voters(after) and len(healthy) >= quorum(after) else None
 
 
 def _with_member(members: Membership, changed: Member) -> tuple[Member, ...]:
--- a/bitterntiller/components/replication/repairer.py
+++ b/bitterntiller/components/replication/repairer.py
@@ -55,25 +55,25 @@
             return messages.RepairReply(STATUS_NOT_LEADER, "", self._log.leader())
         command = repair_decisions.RepairCommand(message.remove, message.add)
         now = self._clock.now()
-        found = repair_decisions.repair_status(self._replica().state, command, now)
-        if found.status != REPAIR_REFUSED:
+        progress = repair_decisions.repair_status(self._replica().state, command, now)
+        if progress.status != REPAIR_REFUSED:
             began = self._began_by_command.setdefault(command, now)
-            found = self._delay_done(found, now - began)
-        if found.status != REPAIR_RUNNING:
+            progress = self._delay_done(progress, now - began)
+        if progress.status != REPAIR_RUNNING:
             self._began_by_command.pop(command, None)
         await self._wake()
-        return messages.RepairReply(found.status, found.text, self._log.leader())
+        return messages.RepairReply(progress.status, progress.text, self._log.leader())
 
     def _delay_done(
-        self, found: repair_decisions.RepairStatus, waited: float
+        self, progress: repair_decisions.RepairStatus, waited: float
     ) -> repair_decisions.RepairStatus:
         """Delay "done" until a loss just before the command would be noticed.
 
         A replica that failed a moment ago still counts as healthy; without the delay
         its repair would be reported as done before it began.
         """
-        if found.status != REPAIR_DONE or waited > self._detection_time:
-            return found
+        if progress.status != REPAIR_DONE or waited > self._detection_time:
+            return progress
         return repair_decisions.RepairStatus(
             REPAIR_RUNNING, "the replicas are being heard"
         )
--- a/bitterntiller/components/replication/startup_check.py
+++ b/bitterntiller/components/replication/startup_check.py
@@ -23,7 +23,7 @@
         )
         if state.role is Role.LEADER or leaderless < state.tuning.leaderless_timeout:
             return
-        # A candidate gives up; it could otherwise lead while it must not be counted.
+        # A candidate withdraws: it must not lead while it can't count in a quorum.
         state.role = Role.FOLLOWER
         state.startup_check = StartupCheck(now)
     if now >= state.next_broadcast:
--- a/bitterntiller/components/replication/state.py
+++ b/bitterntiller/components/replication/state.py
@@ -121,8 +121,8 @@
             self.reset_election_timer(now)
             return
         order = sorted(voters(self.members))
-        place = order.index(self.replica) if self.replica in order else len(order)
-        pause = self.tuning.first_election_spacing * (place + self.rng.random() / 2)
+        rank = order.index(self.replica) if self.replica in order else len(order)
+        pause = self.tuning.first_election_spacing * (rank + self.rng.random() / 2)
         self.election_deadline = now + pause
 
     def start_retry_timer(self, now: float) -> None:
@@ -253,17 +253,17 @@
         due = self._hard_dirty or self._marks_due or self._snapshot_dirty
         if not (due or entries or self._truncate_from):
             return None
-        whole = self.snapshot if self._snapshot_dirty else None
-        if whole:
-            entries = self.log.slice(whole.index + 1, self.log.last_index)
+        snapshot = self.snapshot if self._snapshot_dirty else None
+        if snapshot:
+            entries = self.log.slice(snapshot.index + 1, self.log.last_index)
         self._number += 1
         self._pending = Persist(
             self._number,
-            self.hard if self._hard_dirty or whole else None,
-            dict(self.marks_by_replica) if self._marks_dirty or whole else None,
-            None if whole else self._truncate_from,
+            self.hard if self._hard_dirty or snapshot else None,
+            dict(self.marks_by_replica) if self._marks_dirty or snapshot else None,
+            None if snapshot else self._truncate_from,
             entries,
-            whole,
+            snapshot,
         )
         self._pending_last = self._last_written = self.log.last_index
         self._truncate_from = None
--- a/bitterntiller/components/replication/storage.py
+++ b/bitterntiller/components/replication/storage.py
@@ -126,10 +126,10 @@
         try:
             found = json.loads(path.read_bytes())
             replica = found["replica"]
-            sound = zlib.crc32(replica.encode()) == found["crc"]
+            valid = zlib.crc32(replica.encode()) == found["crc"]
         except (ValueError, KeyError, TypeError, AttributeError):
-            sound = False
-        if not sound:
+            valid = False
+        if not valid:
             raise LogDamagedError(str(path), 0, "the identity is damaged")
         return replica
 
@@ -139,7 +139,7 @@
         if path is None:
             raise LogDamagedError(str(self._folder), 0, "the log is missing")
         data = path.read_bytes()
-        payloads, sound = frames.decode_frames(str(path), data, required_frames=1)
+        payloads, valid_bytes = frames.decode_frames(str(path), data, required_frames=1)
         self._header = frames.decode_header(str(path), data)
         if self._header.base > (snapshot.index if snapshot else 0):
             raise LogDamagedError(
@@ -150,8 +150,8 @@
             replay.apply(_decoded(path, payload))
         self._log_number = number
         self._log_fd = os.open(path, os.O_WRONLY | os.O_APPEND)
-        if sound < len(data):
-            os.ftruncate(self._log_fd, sound)
+        if valid_bytes < len(data):
+            os.ftruncate(self._log_fd, valid_bytes)
             os.fsync(self._log_fd)
         self._remove_obsolete(snapshot.index if snapshot else 0)
         return replay.restored()
@@ -175,9 +175,9 @@
             f"snapshot-{snapshot.index}", frames.encode_header(header) + frame
         )
 
-    def _begin_log(self, base: int, whole: Persist) -> None:
+    def _begin_log(self, base: int, state: Persist) -> None:
         header = frames.new_header(base)
-        frame = frames.encode_frame(header, encode_batch(whole))
+        frame = frames.encode_frame(header, encode_batch(state))
         number = self._log_number + 1
         path = self._write_file(f"log-{number}", frames.encode_header(header) + frame)
         if self._log_fd != -1:
--- a/tests/components/replication/test_join_decisions.py
+++ b/tests/components/replication/test_join_decisions.py
@@ -63,11 +63,11 @@
 def test_join_reply_distinguishes_an_empty_log_from_a_formed_one(rng):
     first = replica("a/1", rng)
     join = messages.Join("b/1", "b", "y", True)
-    assert join_decisions.answer(first, OWN, join, 100.0).status == "fresh"
+    assert join_decisions.reply_to_join(first, OWN, join, 100.0).status == "fresh"
     first.bootstrap([Member("a/1", "a", "x", True), Member("b/1", "b", "y", True)])
-    assert join_decisions.answer(first, OWN, join, 100.0).status == "formed"
+    assert join_decisions.reply_to_join(first, OWN, join, 100.0).status == "formed"
     lost = messages.Join("b/2", "b", "y", True)
-    assert join_decisions.answer(first, OWN, lost, 100.0).status == "exists"
+    assert join_decisions.reply_to_join(first, OWN, lost, 100.0).status == "exists"
 
 
 def test_an_empty_old_copy_is_sent_the_log_from_its_start(rng):
@@ -82,13 +82,19 @@
         leader.tick(now)
         if write := leader.take_effects(now).persist:
             leader.persisted(write.number, now)
-    join_decisions.answer(leader, OWN, messages.Join("d/1", "d", "y", True), 103.1)
+    join_decisions.reply_to_join(
+        leader, OWN, messages.Join("d/1", "d", "y", True), 103.1
+    )
     progress = leader.state.progress_by_replica["d/1"]
     progress.acknowledged(2)
-    join_decisions.answer(leader, OWN, messages.Join("d/1", "d", "y", True), 103.2)
+    join_decisions.reply_to_join(
+        leader, OWN, messages.Join("d/1", "d", "y", True), 103.2
+    )
     assert progress.match == 0
     progress.begin_snapshot(object())
-    join_decisions.answer(leader, OWN, messages.Join("d/1", "d", "y", True), 103.2)
+    join_decisions.reply_to_join(
+        leader, OWN, messages.Join("d/1", "d", "y", True), 103.2
+    )
     assert progress.snapshot
 
 
--- a/tests/components/replication/test_restart.py
+++ b/tests/components/replication/test_restart.py
@@ -89,20 +89,20 @@
 
 
 @pytest.mark.parametrize(
-    "answers",
+    "repliers",
     [
         ("b/1", "c/1", "d/2"),
         ("b/1", "c/1", "d/2", "x/2"),
         ("b/1", "c/2", "d/2", "e/2"),
     ],
 )
-def test_other_voters_are_waited_for(answers):
+def test_other_voters_are_waited_for(repliers):
     """A voter that may have recorded an acknowledgement must be waited for.
 
     Either a voter and its host are silent, or too few replies are left for a quorum.
     """
     state = StartupCheck(0.0)
-    for voter in answers:
+    for voter in repliers:
         state.add_reply(reply(voter))
     assert not state.is_sufficient("a/1", VOTERS, late=False)
 
