--- a/bitterntiller/components/orders/__init__.py
+++ b/bitterntiller/components/orders/__init__.py
@@ -1,4 +1,4 @@
-"""Orders to upstreams: loads, unloads and changes of role, by labels."""
+"""Orders to upstreams, requested by labels: load, unload and role changes."""
 
 from bitterntiller.components.node.coordinator import NodeCoordinator
 from bitterntiller.components.orders.claims import OrderClaims
@@ -8,9 +8,9 @@
 
 
 async def async_setup(runtime: Runtime, node: NodeCoordinator) -> OrdersCoordinator:
-    """Give orders for the pools owned here, until the process unloads.
+    """Issue orders for the pools owned by this process, until it unloads.
 
-    The caller has each accepted announcement passed to note_announcement.
+    The caller must pass each accepted announcement to record_announcement.
     """
     order_claims = OrderClaims(
         node.control_client.async_call_leader,
--- a/bitterntiller/components/orders/claims.py
+++ b/bitterntiller/components/orders/claims.py
@@ -1,4 +1,4 @@
-"""Records of orders that must not be given twice."""
+"""Claims that prevent sending an order twice."""
 
 from collections import Counter
 from collections.abc import Awaitable, Callable
@@ -12,11 +12,11 @@
 
 
 class OrderClaims:
-    """Commits a claim before an order goes to an upstream that repeats it.
+    """Commits a claim before an order is sent to an upstream that would repeat it.
 
-    The owner may die between the sending and the answer. The next owner gives
-    the same order again, which only an upstream that knows order ids takes as
-    the same. For all others the claim tells the next owner that it was sent.
+    The owner may die between sending an order and receiving the response. The next
+    owner then issues the same order, and only an upstream that tracks order ids
+    recognizes it as a duplicate. For all others, the claim records that it was sent.
     """
 
     def __init__(self, call_leader: CallLeader, host: str, incarnation: str) -> None:
@@ -26,7 +26,7 @@
         self._void_count_by_id: Counter[str] = Counter()
 
     async def async_begin(self, order: Order) -> OrderOutcome | None:
-        """Return None when the order may be sent, else what is known of it."""
+        """Return None if the order may be sent, else its recorded outcome."""
         if order.idempotent:
             return None
         reply = await self._async_claim("take", order)
@@ -43,7 +43,7 @@
         return OrderOutcome(const.STATE_NOT_SENT, f"no claim: {status}")
 
     async def async_end(self, order: Order, outcome: OrderOutcome) -> None:
-        """Record how the sending ended, where that is known."""
+        """Record the outcome of sending an order, unless it is unknown."""
         if order.idempotent or outcome.state == const.STATE_UNKNOWN:
             return
         if outcome.state in (const.STATE_NOT_SENT, const.STATE_STALE):
@@ -54,10 +54,10 @@
         await self._async_claim("finish", order, outcome.state)
 
     async def _async_claim(self, action: str, order: Order, outcome: str = "") -> Any:
-        """Call control; the request id stays the same until the claim is voided.
+        """Send a claim to control; its request id changes only after a void.
 
-        A take whose answer was lost is then taken, or found, by the next one,
-        and is not mistaken for that of an earlier owner.
+        If the reply to a take is lost, repeating the take with the same request id
+        succeeds and is not mistaken for the claim of an earlier owner.
         """
         voids = self._void_count_by_id[order.order_id]
         claim = messages.Claim(
--- a/bitterntiller/components/orders/const.py
+++ b/bitterntiller/components/orders/const.py
@@ -1,4 +1,4 @@
-"""Names and bounds of the orders part."""
+"""Constants of the orders component."""
 
 KIND_LOAD = "load"
 KIND_UNLOAD = "unload"
@@ -9,7 +9,7 @@
     KIND_UNLOAD: "order_unload",
     KIND_LOAD: "order_load",
 }
-"""Labels of a service that order something; room is made before a load."""
+"""Service labels that request orders; unloads precede loads, to make room."""
 
 LABEL_GENERATION = "order_generation"
 DEFAULT_LOADS_AT_ONCE = 1
@@ -31,15 +31,15 @@
 
 TARGET = "/v1/orders"
 CLAIM_WORKSPACE = "/orders"
-"""No workspace has this name, since a name holds no slash."""
+"""Can't collide with a workspace, as workspace names contain no slash."""
 
 MAX_RECORDS = 2000
-"""Ended orders of a pool that are remembered."""
+"""Completed orders of a pool whose records are kept."""
 
 TICK = 0.5
 RETRY_PAUSE = 5.0
 ANNOUNCEMENT_TIMEOUT = 10.0
-"""Seconds; an upstream silent for longer gets no orders."""
+"""Seconds; an upstream without a newer announcement gets no orders."""
 
 CONNECT_TIMEOUT = 1.0
 CLAIM_TIMEOUT = 3.0
--- a/bitterntiller/components/orders/coordinator.py
+++ b/bitterntiller/components/orders/coordinator.py
@@ -1,4 +1,4 @@
-"""Gives orders to the upstreams of the pools that this process owns."""
+"""Issues orders to the upstreams of the pools that this process owns."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, NamedTuple
@@ -20,7 +20,7 @@
 
 
 class NodeViews(NamedTuple):
-    """What the process knows from control."""
+    """The state that this process receives from control."""
 
     lease: Lease
     config: ConfigView
@@ -28,7 +28,7 @@
 
 
 class OrdersCoordinator:
-    """Issues orders under the epoch of each owned pool."""
+    """Issues orders, fenced by the epoch of each owned pool."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self.orders_by_pool: dict[str, PoolOrders] = {}
 
     def record_announcement(self, announce: Any) -> None:
-        """Take an accepted messages.Announce of an owned pool; never awaits."""
+        """Record an accepted messages.Announce of an owned pool; never awaits."""
         upstreams = self._upstreams_by_pool.setdefault(announce.pool, {})
         upstreams[announce.name] = OrderedUpstream(
             name=announce.name,
@@ -60,7 +60,7 @@
         )
 
     async def async_run(self) -> None:
-        """Give the orders that are due, until cancelled."""
+        """Issue the orders that are due, until cancelled."""
         try:
             while True:
                 await self.async_issue()
@@ -70,22 +70,22 @@
                 await task.cancel()
 
     async def async_issue(self) -> None:
-        """Start the sending of all orders that are due now."""
+        """Start sending all orders that are due now."""
         config = self._views.config.config
         services = config.services_by_name if config is not None else {}
         for pool in self.orders_by_pool.keys() - services.keys():
             del self.orders_by_pool[pool]
             self._upstreams_by_pool.pop(pool, None)
         for service in services.values():
-            orders = self._follow(service)
+            orders = self._update_orders(service)
             if orders is None:
                 continue
             upstreams = self._upstreams_by_pool.get(service.name, {})
             for order in orders.due(service, upstreams, self._clock.now()):
                 await self._async_start(service, orders, order)
 
-    def _follow(self, service: Service) -> PoolOrders | None:
-        """Return the orders of an owned pool, anew for each epoch."""
+    def _update_orders(self, service: Service) -> PoolOrders | None:
+        """Return the orders of an owned pool, with a new record for each epoch."""
         epoch = self._epoch(service.name)
         orders = self.orders_by_pool.get(service.name)
         if epoch is None:
@@ -109,18 +109,18 @@
         self, service: Service, orders: PoolOrders, order: Order
     ) -> None:
         task = await curio.spawn(
-            self._async_carry_out, service, orders, order, daemon=True
+            self._async_execute, service, orders, order, daemon=True
         )
         self._tasks.add(task)
 
-    async def _async_carry_out(
+    async def _async_execute(
         self, service: Service, orders: PoolOrders, order: Order
     ) -> None:
         try:
-            outcome = await self._async_give(service, order)
+            outcome = await self._async_send(service, order)
         except Exception:
-            # Unnoted, the order would count as being sent, and keep its upstream
-            # and its room for loads, until the pool changes hands.
+            # Without an outcome the order would count as being sent, and block its
+            # upstream and a slot for loads until the pool changes owners.
             logging.exception("order %s to %s failed", order.kind, order.upstream)
             outcome = OrderOutcome(const.STATE_UNKNOWN, "an error of this process")
         orders.record_outcome(order, outcome)
@@ -135,7 +135,7 @@
         )
         self._tasks.discard(await curio.current_task())
 
-    async def _async_give(self, service: Service, order: Order) -> OrderOutcome:
+    async def _async_send(self, service: Service, order: Order) -> OrderOutcome:
         def may_send() -> bool:
             return self._epoch(service.name) == order.fence
 
@@ -147,5 +147,5 @@
         return outcome
 
     def describe(self) -> dict[str, Any]:
-        """Return this part's share of the dump."""
+        """Return the section of orders in the state dump."""
         return describe(self.orders_by_pool)
--- a/bitterntiller/components/orders/desired_orders.py
+++ b/bitterntiller/components/orders/desired_orders.py
@@ -1,4 +1,4 @@
-"""From labels to orders; pure."""
+"""The orders that labels request, without I/O."""
 
 import xxhash
 
@@ -12,7 +12,7 @@
 
 
 def wants_orders(service: Service) -> bool:
-    """Tell whether a service has labels that order something."""
+    """Return whether a service has labels that request orders."""
     kinds = const.LABEL_BY_KIND.values()
     return any(label.partition("/")[0] in kinds for label in service.labels)
 
@@ -20,19 +20,19 @@
 def desired_orders_of(
     service: Service, upstream: OrderedUpstream
 ) -> list[DesiredOrder]:
-    """Return what a service wants of an upstream and does not yet have.
+    """Return what a service requests of an upstream and is not yet done.
 
-    The label order_load names, separated by commas, what is to be loaded on all
-    upstreams that the service's selector chooses; order_load/generation=g2 only
-    on those of them with that label. order_unload and order_role likewise.
+    The label order_load lists, separated by commas, what to load on all upstreams that
+    the service's selector matches; order_load/generation=g2 applies only to those of
+    them with that label. order_unload and order_role work likewise.
     """
     if not service.selector.chooses(upstream.labels):
         return []
     return [
-        wanted
+        desired
         for kind in const.LABEL_BY_KIND
-        for wanted in _desired_of_kind(kind, service, upstream)
-        if not _is_satisfied(wanted, upstream)
+        for desired in _desired_of_kind(kind, service, upstream)
+        if not _is_satisfied(desired, upstream)
     ]
 
 
@@ -59,39 +59,39 @@
     return [item.strip() for item in value.split(",") if item.strip()]
 
 
-def _is_satisfied(wanted: DesiredOrder, upstream: OrderedUpstream) -> bool:
-    """Tell whether the upstream's own labels say that nothing is to be done."""
-    if wanted.kind == const.KIND_ROLE:
-        return upstream.labels.get(const.UPSTREAM_LABEL_ROLE) == wanted.argument
+def _is_satisfied(desired: DesiredOrder, upstream: OrderedUpstream) -> bool:
+    """Return whether the upstream's own labels show the order as already done."""
+    if desired.kind == const.KIND_ROLE:
+        return upstream.labels.get(const.UPSTREAM_LABEL_ROLE) == desired.argument
     loaded = upstream.labels.get(const.UPSTREAM_LABEL_LOADED)
     if loaded is None:
         return False
-    return (wanted.argument in _split(loaded)) == (wanted.kind == const.KIND_LOAD)
+    return (desired.argument in _split(loaded)) == (desired.kind == const.KIND_LOAD)
 
 
 def make_order(
-    service: Service, upstream: OrderedUpstream, wanted: DesiredOrder, fence: int
+    service: Service, upstream: OrderedUpstream, desired: DesiredOrder, fence: int
 ) -> Order:
-    """Return the order for something wanted.
+    """Return the order for a desired change.
 
-    The id depends on what is wanted alone, not on who orders it: an owner that
-    takes over in the middle gives the same order again, not a second one.
+    The id depends only on what is desired, not on the owner that sends it: an owner
+    that takes over while an order is in progress sends the same order, not a new one.
     """
     generation = service.labels.get(const.LABEL_GENERATION, "")
     parts = (
         service.name,
         upstream.name,
         str(upstream.incarnation),
-        wanted.kind,
-        wanted.argument,
+        desired.kind,
+        desired.argument,
         generation,
     )
     return Order(
         order_id=xxhash.xxh3_128_hexdigest("\0".join(parts).encode()),
         upstream=upstream.name,
         address=upstream.address,
-        kind=wanted.kind,
-        argument=wanted.argument,
+        kind=desired.kind,
+        argument=desired.argument,
         fence=fence,
         idempotent=upstream.labels.get(const.UPSTREAM_LABEL_ORDERS)
         == const.ORDERS_IDEMPOTENT,
@@ -99,11 +99,11 @@
 
 
 def order_seconds(service: Service) -> float:
-    """Return the longest time that an order to this service takes."""
+    """Return the maximum seconds that an order to an upstream of this service takes."""
     return float(service.labels.get(LABEL_ORDER_SECONDS, const.DEFAULT_SECONDS))
 
 
 def loads_at_once(service: Service) -> int:
-    """Return how many loads the weight store allows this service at a time."""
+    """Return how many concurrent loads the weight store allows this service."""
     value = service.labels.get(LABEL_ORDER_LOADS_AT_ONCE)
     return int(value) if value else const.DEFAULT_LOADS_AT_ONCE
--- a/bitterntiller/components/orders/diagnostics.py
+++ b/bitterntiller/components/orders/diagnostics.py
@@ -1,4 +1,4 @@
-"""The share of the orders part in the dump of a process's state."""
+"""The section of the orders component in the state dump of a process."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 
 def describe(orders_by_pool: dict[str, PoolOrders]) -> dict[str, Any]:
-    """Return the orders given under the present epoch of each owned pool."""
+    """Return the orders sent under the current epoch of each owned pool."""
     return {
         pool: {
             "epoch": orders.epoch,
--- a/bitterntiller/components/orders/errors.py
+++ b/bitterntiller/components/orders/errors.py
@@ -1,9 +1,9 @@
-"""Errors of the orders part."""
+"""Errors of the orders component."""
 
 from bitterntiller.core.errors import CodedError
 
 
 class OrderMismatchError(CodedError):
-    """Raised for an answer that names another order."""
+    """Raised for a response that names a different order."""
 
     code = "foreign-answer"
--- a/bitterntiller/components/orders/models.py
+++ b/bitterntiller/components/orders/models.py
@@ -1,17 +1,17 @@
-"""Orders and the upstreams that get them; times in seconds of this host's clock."""
+"""Orders and the upstreams that receive them; times in seconds of the host's clock."""
 
 from typing import NamedTuple
 
 
 class DesiredOrder(NamedTuple):
-    """What the labels of a service want of an upstream."""
+    """A change to an upstream that the labels of a service request."""
 
     kind: str
     argument: str
 
 
 class OrderedUpstream(NamedTuple):
-    """An upstream as it announced itself last."""
+    """An upstream as of its last announcement."""
 
     name: str
     address: str
@@ -22,7 +22,7 @@
 
 
 class Order(NamedTuple):
-    """One order; order_id is the same whichever owner of the pool gives it."""
+    """One order; order_id does not depend on the owner that sends it."""
 
     order_id: str
     upstream: str
@@ -34,7 +34,7 @@
 
 
 class OrderRecord(NamedTuple):
-    """What became of an order in this epoch; state is one of const.STATE_."""
+    """The progress of an order in this epoch; state is one of const.STATE_*."""
 
     order: Order
     state: str
@@ -44,7 +44,7 @@
 
 
 class OrderOutcome(NamedTuple):
-    """How the sending of an order ended; state is one of const.STATE_."""
+    """The outcome of sending an order; state is one of const.STATE_*."""
 
     state: str
     text: str
--- a/bitterntiller/components/orders/pool.py
+++ b/bitterntiller/components/orders/pool.py
@@ -1,4 +1,4 @@
-"""The orders of one owned pool; decides, without I/O."""
+"""The state of the orders of one owned pool, without I/O."""
 
 from bitterntiller.components.config.models import Service
 from bitterntiller.components.orders import const
@@ -17,7 +17,7 @@
 
 
 class PoolOrders:
-    """What was ordered under one epoch of a pool; times in seconds."""
+    """The orders sent under one epoch of a pool; times in seconds."""
 
     def __init__(self, epoch: int, owned_since: float) -> None:
         self.epoch = epoch
@@ -31,7 +31,7 @@
         upstreams_by_name: dict[str, OrderedUpstream],
         now: float,
     ) -> list[Order]:
-        """Return the orders to be sent now, and note them as being sent."""
+        """Return the orders to send now and mark them as being sent."""
         if self.stale:
             return []
         due = []
@@ -56,8 +56,8 @@
             return None
         if self._is_busy(upstream.name):
             return None
-        for wanted in desired_orders_of(service, upstream):
-            order = make_order(service, upstream, wanted, self.epoch)
+        for desired in desired_orders_of(service, upstream):
+            order = make_order(service, upstream, desired, self.epoch)
             if not self._may_send(order, now):
                 continue
             if self._must_wait(order, upstream, service, now):
@@ -72,10 +72,10 @@
         )
 
     def _may_send(self, order: Order, now: float) -> bool:
-        """Tell whether an order was not sent yet, or may be sent again.
+        """Return whether an order was not sent yet or may be repeated.
 
-        After a lost answer only an upstream that knows order ids gets it again:
-        another one would do it twice.
+        After a lost response, only an upstream that tracks order ids gets it again; any
+        other one would execute it twice.
         """
         record = self.records_by_id.get(order.order_id)
         if record is None:
@@ -87,13 +87,13 @@
     def _must_wait(
         self, order: Order, upstream: OrderedUpstream, service: Service, now: float
     ) -> bool:
-        """Tell whether an order has to wait for the old owner's, or for room.
+        """Return whether an order must wait for the previous owner or a load slot.
 
-        The owner before had lost its lease, or had given the pool back, when
-        this epoch began; what it had sent has ended one order time later. An
-        upstream that ignores fences could carry out old and new together. The
-        old owner's loads may still use the weight store, whatever the upstream
-        checks.
+        The previous owner had lost its lease or released the pool when this epoch
+        began, so what it had sent has ended one maximum order duration later. Until
+        then, an upstream that ignores fences could execute old and new orders together,
+        and the previous owner's loads may still use the weight store, whether or not
+        the upstream checks fences.
         """
         seconds = order_seconds(service)
         checked = (
@@ -105,9 +105,9 @@
         return is_load and self._active_loads(seconds, now) >= loads_at_once(service)
 
     def _active_loads(self, seconds: float, now: float) -> int:
-        """Return how many loads may be going on.
+        """Return how many loads may be in progress.
 
-        One whose answer was lost may go on for the whole order time.
+        A load whose response was lost may continue for the maximum order duration.
         """
         return sum(
             record.order.kind == const.KIND_LOAD
@@ -126,13 +126,13 @@
         return record.attempts if record else 0
 
     def record_outcome(self, order: Order, outcome: OrderOutcome) -> None:
-        """Note how the sending of an order ended."""
+        """Record the outcome of sending an order."""
         record = self.records_by_id[order.order_id]
         self.records_by_id[order.order_id] = record._replace(
             state=outcome.state, text=outcome.text
         )
         self._forget_oldest()
-        # The upstream has seen a later epoch: this owner was replaced.
+        # The upstream has received an order of a later epoch: this owner was replaced.
         if outcome.state == const.STATE_STALE:
             self.stale = True
 
--- a/bitterntiller/components/orders/sender.py
+++ b/bitterntiller/components/orders/sender.py
@@ -1,4 +1,4 @@
-"""Sends one order to an upstream."""
+"""Sends an order to an upstream."""
 
 import json
 from collections.abc import Callable
@@ -18,10 +18,10 @@
 async def async_send_order(
     order: Order, may_send: Callable[[], bool], timeout: float
 ) -> OrderOutcome:
-    """Send an order and return how it ended; timeout in seconds.
+    """Send an order and return the outcome; timeout in seconds.
 
-    may_send is asked when the connection stands, just before the first byte:
-    an owner that was frozen while it connected must find its lease ended.
+    may_send is called once the connection is established, just before the first byte:
+    an owner that was frozen while connecting must then find its lease expired.
     """
     try:
         exchange = await ClientExchange.async_open(order.address, const.CONNECT_TIMEOUT)
@@ -56,7 +56,10 @@
 
 
 def parse_response(order: Order, status: int, body: bytes) -> OrderOutcome:
-    """Return what an upstream's answer means; raise OrderMismatchError."""
+    """Return the outcome in an upstream's response.
+
+    Raise OrderMismatchError if the response names another order.
+    """
     text = f"{status} {body[:200].decode('utf-8', 'replace')}"
     if status == 409:
         return OrderOutcome(const.STATE_STALE, text)
--- a/tests/components/orders/builders.py
+++ b/tests/components/orders/builders.py
@@ -42,7 +42,7 @@
 
 
 class FakeUpstream:
-    """Notes orders; answers what the test put last."""
+    """Records orders; returns the outcome that the test has set."""
 
     def __init__(self):
         self.orders = []
@@ -56,7 +56,7 @@
 
 
 class FakeControl:
-    """Claims kept by a real state; answers is False while control is away."""
+    """Claims in a real control state; replies are lost while answers is False."""
 
     def __init__(self, state):
         self.state = state
@@ -86,7 +86,7 @@
         )
 
     async def async_pass(self, seconds):
-        """Let time pass, with an announcement and the issuing at its end."""
+        """Advance the clock, then record an announcement and issue the due orders."""
         self.clock.advance(seconds)
         self.coordinator.record_announcement(
             messages.Announce(
--- a/tests/components/orders/test_coordinator.py
+++ b/tests/components/orders/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Orders under the epochs of pool owners, on fakes of upstream and control."""
+"""Orders across changes of the pool owner, on fakes of upstream and control."""
 
 import curio
 import pytest
@@ -20,7 +20,7 @@
     curio.run(main)
 
 
-def test_an_upstream_that_checks_fences_gets_its_order_at_once():
+def test_upstream_that_checks_fences_gets_orders_at_once():
     async def main():
         issuer = make_issuer(fencing="checked")
         await issuer.async_pass(0)
@@ -33,11 +33,11 @@
     run(main)
 
 
-def test_the_old_owner_is_waited_out():
+def test_orders_wait_for_the_previous_owner():
     """
-    An owner dies while an upstream that ignores fences carries out its order.
-    The next owner waits for the longest order time, so that the upstream never
-    has two orders of two owners at once.
+    An owner dies while an upstream that ignores fences executes its order. The next
+    owner waits for the maximum order duration, so that the upstream never executes
+    orders of two owners at the same time.
     """
 
     async def main():
@@ -57,10 +57,10 @@
 
 
 @pytest.mark.parametrize("cause", ["lease", "host", "epoch"])
-def test_a_frozen_owner_sends_nothing_when_it_wakes(cause):
+def test_frozen_owner_sends_nothing_when_it_resumes(cause):
     """
-    An owner is frozen between its decision and the first byte. Another owner
-    has been settled when it wakes; its order must not leave.
+    An owner is frozen between its decision and the first byte of the order. When it
+    resumes, another owner has been assigned, and the order must not be sent.
     """
 
     async def main():
@@ -84,10 +84,10 @@
 @pytest.mark.parametrize(
     ("labels", "sent"), [({"orders": "idempotent"}, 2), ({}, 1)], ids=["knows", "not"]
 )
-def test_a_lost_answer(labels, sent):
+def test_lost_response(labels, sent):
     """
-    An order's answer is lost. An upstream that knows order ids gets the same
-    one again; another one would do it twice, and gets no more.
+    The response to an order is lost. An upstream that tracks order ids gets the same
+    order again; any other one would execute it twice, so it is not repeated.
     """
 
     async def main():
@@ -104,11 +104,11 @@
     run(main)
 
 
-def test_the_next_owner_does_not_repeat_an_order():
+def test_next_owner_does_not_repeat_an_order():
     """
-    An owner sends an order to an upstream that does not know order ids, and
-    dies. The next owner wants the same; the claim tells it that the order went
-    out. Only a new generation, set by an operator, gives it again.
+    An owner sends an order to an upstream that does not track order ids, and dies. The
+    claim shows the next owner that the order was sent. It is repeated only for a new
+    generation, which an operator sets.
     """
 
     async def main():
@@ -129,11 +129,11 @@
     run(main)
 
 
-def test_control_away_while_an_order_is_due():
+def test_control_unreachable_while_an_order_is_due():
     """
-    Control commits the claim of an order, but its answer is lost. The order was
-    not sent: when control is back, the same claim is found to be the owner's
-    own, and the order goes out once.
+    Control commits the claim of an order, but its reply is lost, so the order is not
+    sent. Once control replies again, it recognizes the claim as the owner's own, and
+    the order is sent once.
     """
 
     async def main():
@@ -151,7 +151,7 @@
     run(main)
 
 
-def test_a_newer_fence_stops_the_owner():
+def test_newer_fence_stops_the_owner():
     async def main():
         issuer = make_issuer(fencing="checked")
         issuer.upstream.answer = OrderOutcome("stale", "409")
@@ -167,10 +167,10 @@
     run(main)
 
 
-def test_an_error_does_not_keep_the_upstream_for_ever():
+def test_error_does_not_block_the_upstream():
     """
-    An engine's answer meets a fault of this process. Its order ends as unknown,
-    and the engine gets the next one.
+    This process fails while handling an engine's response. The outcome of the order is
+    unknown, and the engine still gets the next order.
     """
 
     async def main():
--- a/tests/components/orders/test_parts.py
+++ b/tests/components/orders/test_parts.py
@@ -1,4 +1,4 @@
-"""What labels want, the budget of loads, and the exchange with an upstream."""
+"""Orders requested by labels, the limit of loads, and sending to an upstream."""
 
 import json
 
@@ -27,7 +27,7 @@
         ({"order_role": "decode"}, {"role": "prefill"}, [("role", "decode")]),
     ],
 )
-def test_wanted(service_labels, upstream_labels, expected):
+def test_desired_orders(service_labels, upstream_labels, expected):
     service = make_service(**service_labels)
     upstream = make_upstream(**upstream_labels)
     assert desired_orders_of(service, upstream) == [
@@ -35,11 +35,11 @@
     ]
 
 
-def test_loads_keep_to_the_budget_of_the_weight_store():
+def test_concurrent_loads_are_limited():
     """
-    Six engines want a new version at once, and the weight store serves two. A
-    load whose answer was lost may still be reading from it, so that its room
-    is given to another only after the longest order time.
+    Six engines have to load a new version, and the weight store serves two at a time. A
+    load whose response was lost may still be reading from it, so its slot is reused
+    only after the maximum order duration.
     """
     service = make_service(order_load="v1", order_loads_at_once="2")
     pool = PoolOrders(7, 0.0)
@@ -61,7 +61,7 @@
     assert [o.upstream for o in pool.due(service, upstreams, 261.0)] == ["u3"]
 
 
-def test_no_orders_to_an_upstream_that_leaves_or_is_silent():
+def test_no_orders_to_leaving_or_silent_upstreams():
     pool = PoolOrders(7, 0.0)
     service = make_service(order_role="decode")
     upstream = make_upstream(last_announced_at=90.0)
@@ -71,7 +71,7 @@
 
 
 async def exchange(answer, may_send=True):
-    """Send an order to a server that gives a raw answer; return what both saw."""
+    """Send an order to a server with a raw response; return state and request."""
     seen = []
 
     async def serve(sock, _address):
@@ -117,7 +117,7 @@
         (b"", "unknown"),
     ],
 )
-def test_answers(answer, state):
+def test_responses(answer, state):
     got, seen = curio.run(exchange, answer)
     assert got == state
     body = json.loads(seen[seen.index(b"{") :])
