--- a/bitterntiller/components/dispatch/inflight.py
+++ b/bitterntiller/components/dispatch/inflight.py
@@ -56,5 +56,5 @@
         self._value = min(max(value, MIN_LIMIT), float(slots))
 
     def record_rejection(self, in_flight: int, slots: int) -> None:
-        """Lower the limit to the in_flight beside which a request was rejected."""
+        """Lower the limit to the number in flight when a request was rejected."""
         self._value = max(MIN_LIMIT, min(self._value, float(slots), float(in_flight)))
--- a/bitterntiller/components/dispatch/isolation.py
+++ b/bitterntiller/components/dispatch/isolation.py
@@ -2,7 +2,7 @@
 
 Each request that was running on an upstream when it crashed is a suspect, and most are
 innocent. Only one copy of a suspect runs at a time. One with at least ISOLATED_FROM
-crashes runs beside no other suspect, so that its next crash identifies the culprit.
+crashes runs alongside no other suspect, so its next crash identifies the culprit.
 """
 
 from bitterntiller.components.dispatch.ledger import Ledger
@@ -11,7 +11,7 @@
 from bitterntiller.core.interfaces import CrashView
 
 ISOLATED_FROM = 2
-"""Number of crashes from which a request doesn't run beside other suspects."""
+"""Number of crashes from which a request doesn't run alongside other suspects."""
 
 NOT_SUSPECT = 0
 
@@ -29,7 +29,7 @@
 
 
 class Isolation:
-    """Decides beside which requests a suspect may run, by their number of crashes."""
+    """Decides alongside which requests a suspect may run, by their crash counts."""
 
     def __init__(self, crashes: CrashView, pool: Pool) -> None:
         self._crashes = crashes
@@ -50,7 +50,7 @@
         return request.fingerprint if self._count(request, now) else NOT_SUSPECT
 
     def allows(self, request: WaitingRequest, ledger: Ledger, now: float) -> bool:
-        """Return whether a request may run beside the requests of an upstream."""
+        """Return whether a request may run alongside the requests of an upstream."""
         count = self._count(request, now)
         if count and self._pool.in_flight_by_fingerprint[request.fingerprint]:
             return False
--- a/bitterntiller/components/dispatch/models.py
+++ b/bitterntiller/components/dispatch/models.py
@@ -314,7 +314,7 @@
 
     wait_share is the fraction of its slack that a request may be expected to wait.
     margin is the number of deviations added to an estimated completion. optimism is the
-    weight, in that estimate, of an upstream's best speed beside its present speed.
+    weight, in that estimate, of an upstream's best speed against its present speed.
     prefix_weight is the cost of a second of prefill relative to the request's own
     delay. samples is the number of upstreams drawn at random in a large pool.
 
--- a/bitterntiller/components/dispatch/picker.py
+++ b/bitterntiller/components/dispatch/picker.py
@@ -139,7 +139,7 @@
     def _accepts_when_idle(self, job: Job, upstream: Upstream, now: float) -> bool:
         """Return whether an upstream is idle and accepts a request.
 
-        A request that is in time only without the margin isn't worth a slot beside
+        A request that is in time only without the margin isn't worth a slot among
         other work. At an idle upstream it displaces nothing, and waiting would never
         make it fit: it would be shed although the engine is idle.
         """
@@ -289,7 +289,7 @@
         return 1.0 - self._parameters.headroom * above
 
     def _keeps_running_in_time(self, job: Job, upstream: Upstream, now: float) -> bool:
-        """Return whether running work would still end in time beside a request.
+        """Return whether running work would still end in time alongside a request.
 
         A request slows down the others by its slot in the batch and by its prefill,
         during which they run at about half their speed. The prefill of running work is
--- a/bitterntiller/components/dispatch/pool_trial.py
+++ b/bitterntiller/components/dispatch/pool_trial.py
@@ -104,10 +104,10 @@
         if self.trial is None:
             return
         name = decision.upstream
-        judged = version == self._rules.candidate
+        is_candidate = version == self._rules.candidate
         warm = now >= self._warm_at_by_upstream.get(name, now)
         self.trial.note_sent(
-            decision.request_id, route, name if judged else "", warm, now
+            decision.request_id, route, name if is_candidate else "", warm, now
         )
 
     def note_progress(self, item: messages.ProgressItem) -> None:
--- a/tests/components/dispatch/test_objectives.py
+++ b/tests/components/dispatch/test_objectives.py
@@ -193,7 +193,7 @@
 
 
 def test_repeated_failures_pause_an_upstream():
-    """An engine that fails its requests but passes its health probe gets them all."""
+    """An engine that fails requests but passes health probes attracts them all."""
     scheduler = new_scheduler()
     for number in range(3):
         name = f"r{number}"
--- a/tests/components/dispatch/test_rollouts.py
+++ b/tests/components/dispatch/test_rollouts.py
@@ -13,12 +13,12 @@
 from tests.components.dispatch import messages_builders as build
 
 T0 = 1000.0
-JUDGED = VersionRules("v1", "v2", "", 7)
+CANDIDATE = VersionRules("v1", "v2", "", 7)
 COMPLETE = VersionRules("v2", "", "", 7)
 REVERTED = VersionRules("v1", "", "v2", 7)
 
 
-def pool(rules: VersionRules = JUDGED, old: int = 2, new: int = 6) -> OwnedPool:
+def pool(rules: VersionRules = CANDIDATE, old: int = 2, new: int = 6) -> OwnedPool:
     owned = OwnedPool(build.POOL, 1, make_registered_scheduler("engine"), T0)
     owned.configure(build.config(), T0)
     for number in range(old):
@@ -44,11 +44,11 @@
     ("rules", "used"),
     [
         (ANY_VERSION, {"old", "new"}),
-        (JUDGED, {"old"}),
+        (CANDIDATE, {"old"}),
         (COMPLETE, {"new"}),
         (REVERTED, {"old"}),
     ],
-    ids=["any", "judged", "complete", "reverted"],
+    ids=["any", "candidate", "complete", "reverted"],
 )
 def test_only_allowed_versions_get_requests(rules, used):
     """A version gets requests although the version rules don't allow it."""
