--- a/bitterntiller/components/control/coordinator.py
+++ b/bitterntiller/components/control/coordinator.py
@@ -175,9 +175,9 @@
         # A decided change keeps its outcome, even if validation has become stricter.
         numbered = change.number is not None
         if numbered or change.change_id not in self.state.configuration.outcomes_by_id:
-            fault = await self._async_find_change_error(change)
-            if fault:
-                return self._change_reply(STATUS_INVALID, fault)
+            error = await self._async_find_change_error(change)
+            if error:
+                return self._change_reply(STATUS_INVALID, error)
         proposed = await self._proposer.async_propose(change=change)
         self._runtime.metrics.count(f"control.change.{proposed.status}")
         events.emit(
@@ -195,7 +195,7 @@
         return self._change_reply(proposed.status)
 
     async def _async_find_change_error(self, change: Any) -> str:
-        """Check in a thread what takes long, so that no heartbeat waits for it."""
+        """Validate a change, a large one in a thread so that heartbeats don't wait."""
         if len(change.config) <= LARGE_CONFIG_BYTES:
             return find_change_error(change, self._parse)
         return await curio.run_in_thread(find_change_error, change, self._parse)
