--- a/bitterntiller/components/entry/authentication.py
+++ b/bitterntiller/components/entry/authentication.py
@@ -1,4 +1,4 @@
-"""Whose a token is."""
+"""Authenticate workspaces by their tokens."""
 
 import hashlib
 
@@ -6,7 +6,7 @@
 
 
 def find_workspace_by_token(token: str, config: Config) -> Workspace | None:
-    """Return the workspace that a token belongs to; configurations hold its SHA-256."""
+    """Return the workspace of a token; configurations store only its SHA-256."""
     if not token:
         return None
     digest = hashlib.sha256(token.encode("latin-1")).hexdigest()
--- a/bitterntiller/components/entry/diagnostics.py
+++ b/bitterntiller/components/entry/diagnostics.py
@@ -1,4 +1,4 @@
-"""The entry role's share of the dump."""
+"""The entry role's section of the state dump."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -8,7 +8,7 @@
 
 
 def describe(coordinator: EntryCoordinator) -> Mapping[str, Any]:
-    """Return counts of live requests by phase and workspace, and held bytes."""
+    """Return counts of live requests by phase and workspace, and the reserved bytes."""
     requests = coordinator.registry.by_id.values()
     return {
         "ready": coordinator.ready(),
--- a/bitterntiller/components/entry/errors.py
+++ b/bitterntiller/components/entry/errors.py
@@ -4,6 +4,6 @@
 
 
 class SentTwiceError(BrokenInvariantError):
-    """Raised when a request is about to be sent while it may have run."""
+    """Raised when a request would be sent again although it may have run."""
 
     code = "sent-twice"
--- a/bitterntiller/components/entry/estimate.py
+++ b/bitterntiller/components/entry/estimate.py
@@ -1,4 +1,4 @@
-"""Third filter: what the body tells of the work that it asks for."""
+"""Estimate the size of a request from its body."""
 
 import json
 from typing import Any
@@ -12,7 +12,11 @@
 
 
 def estimate(kind: str, body: bytes) -> Estimate:
-    """Return token counts and prefix hashes; a body that is no JSON is prose."""
+    """Return token counts and prefix hashes of a request.
+
+    For kinds other than engine, only the length of the body counts. A body of an engine
+    request that is not a JSON object counts as an empty prompt.
+    """
     if kind != KIND_ENGINE:
         return Estimate(_tokens(len(body)), 1, (), False)
     document = _parse(body)
@@ -26,7 +30,7 @@
 
 
 def prompt_bytes(document: dict[str, Any]) -> bytes:
-    """Return the prompt's text: the prompt, or the messages one after the other."""
+    """Return the text of the prompt, or of all messages in their order."""
     prompt = document.get("prompt")
     if isinstance(prompt, str):
         return prompt.encode("utf-8", "surrogatepass")
@@ -38,7 +42,7 @@
 
 
 def prefix_hashes(prompt: bytes) -> tuple[int, ...]:
-    """Return the signed 64-bit xxh3 of prefixes of doubling length, shortest first."""
+    """Return signed 64-bit xxh3 hashes of prefixes that double in length."""
     hashes = []
     length = const.MIN_PREFIX_BYTES
     while length <= len(prompt) and len(hashes) < const.MAX_PREFIXES:
--- a/bitterntiller/components/entry/event_logging.py
+++ b/bitterntiller/components/entry/event_logging.py
@@ -1,4 +1,4 @@
-"""The decisions on a request as events of the log."""
+"""Log the decisions on a request as events."""
 
 from bitterntiller.components.crashes.fingerprint import shown
 from bitterntiller.components.entry.context import Context
@@ -19,7 +19,7 @@
     identified: IdentifiedRequest | None,
     request_id: str,
 ) -> None:
-    """Log a request that was answered here, and what that rests on."""
+    """Log a request that this host refused, and the state the decision is based on."""
     waited = 0.0
     if identified is not None:
         waited = context.clock.now() - identified.received.arrived
@@ -46,7 +46,7 @@
 ) -> None:
     """Log that a request is sent.
 
-    kept tells whether its connection was open, version is that of the upstream.
+    kept states whether a kept connection is reused; version is the upstream's.
     """
     identified = active.prepared.identified
     events.emit(
@@ -72,7 +72,7 @@
 def log_response(
     active: ActiveRequest, status: int, finding: ResponseClass, now: float
 ) -> None:
-    """Log the head of an answer, and what it was taken for."""
+    """Log the head of a response and its class."""
     events.emit(
         "answer",
         request=active.request_id,
@@ -85,7 +85,7 @@
 
 
 def log_attempt(active: ActiveRequest, verdict: Retry) -> None:
-    """Log an attempt after which the request waits again."""
+    """Log an attempt after which the request waits for another grant."""
     events.emit(
         "attempt-ended",
         request=active.request_id,
@@ -97,7 +97,7 @@
 
 
 def log_end(active: ActiveRequest, outcome: str, status: int, now: float) -> None:
-    """Log how a request ended that was sent, or whose caller left."""
+    """Log the end of a request that was sent or whose caller disconnected."""
     identified = active.prepared.identified
     arrived = identified.received.arrived
     first = active.first_byte_at
@@ -120,14 +120,14 @@
 
 
 def _route(identified: IdentifiedRequest | None) -> str:
-    """Return the name of the route that matched, empty without one."""
+    """Return the name of the matching route, empty without one."""
     if identified is None or identified.route is None:
         return ""
     return identified.route.name
 
 
 def _declared_tokens(identified: IdentifiedRequest | None) -> int | None:
-    """Return the prompt with the output that the caller stated, None if it didn't."""
+    """Return the declared tokens of prompt and output, None without a declaration."""
     if identified is None or identified.received.work is None:
         return None
     work = identified.received.work
--- a/bitterntiller/components/entry/identify.py
+++ b/bitterntiller/components/entry/identify.py
@@ -1,4 +1,4 @@
-"""Second filter: whose request it is, for which service, how important, by when."""
+"""Determine the workspace, service, tier and deadline of a request."""
 
 from bitterntiller.components.config.models import Config, Service, Tier, Workspace
 from bitterntiller.components.entry import const
@@ -9,7 +9,7 @@
 
 
 def identify(received: ReceivedRequest, config: Config) -> IdentifiedRequest | Ending:
-    """Return the request with its workspace, service, tier and deadline."""
+    """Return the request with workspace, service, tier and deadline, or a refusal."""
     if config.routes_by_host:
         return identify_by_route(received, config)
     workspace = find_workspace_by_token(received.token, config)
@@ -41,20 +41,20 @@
 
 
 def revalidate(identified: IdentifiedRequest, config: Config) -> Ending | None:
-    """Return why a newer configuration no longer allows a request.
+    """Check a request against a newer configuration; return a refusal or None.
 
-    None when it still does, for the same service and tier. A request can wait
-    longer than a change takes to come into force; sent by what was allowed when
-    it came, it would run under a configuration that is in force nowhere. A routed
-    request goes by the configuration under which it came: its route bounds its wait.
+    None means that it is still allowed, for the same service and tier. A request may
+    wait longer than a change takes to come into force, and would otherwise run under a
+    configuration that no longer applies anywhere. A routed request keeps the
+    configuration under which it arrived, since its route bounds its wait.
     """
     if identified.route is not None:
         return None
-    anew = identify(identified.received, config)
-    if isinstance(anew, Ending):
-        return anew
+    current = identify(identified.received, config)
+    if isinstance(current, Ending):
+        return current
     same = (identified.service.name, identified.tier.name)
-    if (anew.service.name, anew.tier.name) != same:
+    if (current.service.name, current.tier.name) != same:
         detail = "the configuration has changed"
         return _refusal(Reason.NOT_ALLOWED, 403, detail)
     return None
@@ -73,10 +73,10 @@
 
 
 def has_dot_segment(path: str) -> bool:
-    """Tell whether a path has a segment . or .., perhaps percent-encoded.
+    """Return whether a path has a "." or ".." segment, also if percent-encoded.
 
-    An upstream would resolve it and serve a path of another prefix than the one
-    by which the service and the right to use it were chosen.
+    The upstream would resolve it to a path outside the prefix by which the service was
+    selected and authorized.
     """
     if "." not in path and "%" not in path:
         return False
@@ -86,7 +86,7 @@
 
 
 def has_prefix(path: str, prefix: str) -> bool:
-    """Tell whether a path lies at or below a prefix, by whole segments."""
+    """Return whether a path is equal to or below a prefix, by whole segments."""
     if path == prefix:
         return True
     return path.startswith(prefix if prefix.endswith("/") else prefix + "/")
--- a/bitterntiller/components/entry/limit_reports.py
+++ b/bitterntiller/components/entry/limit_reports.py
@@ -1,4 +1,4 @@
-"""Tells owners which limits the answers of upstreams name."""
+"""Report the rate limits in responses of upstreams to the owners of pools."""
 
 import curio
 
@@ -12,10 +12,10 @@
 async def async_report_rate_limit(
     context: Context, active: ActiveRequest, grant: GrantReceived, now: float
 ) -> None:
-    """Tell the owners at once what an answer that began now names as a limit.
+    """Report the rate limit of a response that has just started to the owners.
 
-    These are the owner whose grant was used and its successor, if there is one. The end
-    of a limit is told where the grant says that the owner believes in one.
+    These are the owner that issued the grant and its successor, if there is one. The
+    end of a limit is reported only if the grant states that the owner applies one.
     """
     limit = active.rate_limit
     if limit is None and not grant.rate_limited:
@@ -25,7 +25,7 @@
     owner = context.directory.owner(grant.pool)
     addresses = {grant.sender, owner.address if owner is not None else ""}
     message = limit_message(reported, context.clock.now())
-    # A dial to an owner that has just died must not hold up the answer.
+    # In the background: connecting to a dead owner must not delay the response.
     for address in addresses - {""}:
         await curio.spawn(context.links.async_send, address, message, daemon=True)
 
@@ -33,10 +33,10 @@
 async def async_report_known_limits(
     context: Context, pool: str, owner: Ownership
 ) -> None:
-    """Tell an owner that is new to this host the limits known here, before it grants.
+    """Send an owner that is new to this host the known rate limits, before it grants.
 
-    Without it the owner would send an upstream with a limit all that its slots hold,
-    until an answer names the limit again.
+    Otherwise the owner would use all slots of a limited upstream until a response
+    states the limit again.
     """
     now = context.clock.now()
     for reported in context.rate_limits.for_new_owner(pool, owner, now):
--- a/bitterntiller/components/entry/owner_messages.py
+++ b/bitterntiller/components/entry/owner_messages.py
@@ -1,4 +1,4 @@
-"""The entry role's messages to the owner of a pool."""
+"""Build the messages of the entry role to the owner of a pool."""
 
 from bitterntiller.components.entry.models import ActiveRequest, GrantReceived
 from bitterntiller.components.entry.rate_limits import ReportedLimit
@@ -10,7 +10,7 @@
 
 
 def milliseconds(seconds: float) -> int:
-    """Return a duration in whole milliseconds, from 0 to the most in a message."""
+    """Return a duration in whole milliseconds, limited to 0 up to MAX_MILLISECONDS."""
     return max(0, min(int(seconds * 1000), MAX_MILLISECONDS))
 
 
@@ -20,9 +20,9 @@
     now: float,
     versions: VersionsView | None = None,
 ) -> messages.Register:
-    """Return the registration of a request with what is left of its time.
+    """Return the registration of a request, with its times relative to now.
 
-    Its route is told while a rollout of its service is judged.
+    Its route is included while a rollout of its service is being evaluated.
     """
     identified = active.prepared.identified
     estimate = active.prepared.estimate
@@ -59,7 +59,7 @@
 def running_item(
     active: ActiveRequest, entry_host: str, now: float
 ) -> messages.RunningItem:
-    """Return a running request as a new owner needs it."""
+    """Return the item for a running request in the message to a new owner."""
     return messages.RunningItem(
         request=register_message(active, entry_host, now),
         upstream=active.upstream,
@@ -67,21 +67,21 @@
     )
 
 
-def limit_message(heard: ReportedLimit, now: float) -> messages.UpstreamLimit:
-    """Return what an answer named, with its age."""
+def limit_message(reported: ReportedLimit, now: float) -> messages.UpstreamLimit:
+    """Return the message for a reported rate limit, with its age."""
     return messages.UpstreamLimit(
-        pool=heard.pool,
-        upstream=heard.upstream,
-        incarnation=heard.incarnation,
-        limit=heard.limit,
-        age_ms=milliseconds(now - heard.at),
+        pool=reported.pool,
+        upstream=reported.upstream,
+        incarnation=reported.incarnation,
+        limit=reported.limit,
+        age_ms=milliseconds(now - reported.at),
     )
 
 
 def returned_message(
     request_id: str, grant: GrantReceived, reason: str, waiting: bool
 ) -> messages.Returned:
-    """Return the giving back of a grant under which nothing has run."""
+    """Return the message that returns a grant under which nothing has run."""
     return messages.Returned(
         request_id=request_id,
         pool=grant.pool,
@@ -94,7 +94,7 @@
 def finished_message(
     active: ActiveRequest, outcome: str, now: float
 ) -> messages.Finished:
-    """Return the end of a request that was sent."""
+    """Return the message for the end of a sent request."""
     first = UNKNOWN_COUNT
     if active.first_byte_at is not None:
         first = milliseconds(active.first_byte_at - active.sent_at)
--- a/bitterntiller/components/entry/owner_monitor.py
+++ b/bitterntiller/components/entry/owner_monitor.py
@@ -137,11 +137,11 @@
     async def _async_send_report(self, owner: Ownership) -> None:
         counting = self._is_counting_host(owner.host)
         process = self._process(owner.host)
-        told = self._account.unacknowledged(process) if counting else NO_USAGE
+        quota_report = self._account.unacknowledged(process) if counting else NO_USAGE
         live = self._registry.by_id.keys()
         now = self._runtime.clock.now()
         ended = self._registry.ended_requests.unacknowledged(process, live, now)
-        report = self._report(told, ended, counting)
+        report = self._report(quota_report, ended, counting)
         try:
             reply = await self._runtime.links.async_call(
                 owner.address, report, const.REPORT_TIMEOUT
@@ -161,7 +161,7 @@
         if process == f"{owner.host}/{reply.incarnation}":
             self._registry.ended_requests.note_acknowledged(process, ended)
             if counting:
-                self._account.note_acknowledged(process, told)
+                self._account.note_acknowledged(process, quota_report)
                 self._account.update_levels(reply.levels)
         if self._owners.record_answer(owner.host, reply.incarnation):
             # The owner's process is new, so report everything to it again now.
@@ -171,7 +171,7 @@
             )
 
     def _report(
-        self, told: UnacknowledgedUse, ended: UnacknowledgedEnds, counting: bool
+        self, quota_report: UnacknowledgedUse, ended: UnacknowledgedEnds, counting: bool
     ) -> messages.EntryReport:
         return messages.EntryReport(
             entry_host=self._runtime.settings.host,
@@ -183,15 +183,15 @@
                     amount=item.amount,
                     age_ms=int(item.age * 1000),
                 )
-                for item in told.used
+                for item in quota_report.used
             ],
             held=[
                 messages.Held(workspace=workspace, amount=amount)
-                for workspace, amount in told.held_by_workspace.items()
+                for workspace, amount in quota_report.held_by_workspace.items()
             ],
             ended=ended.request_ids,
             counting=counting,
-            settled=told.settled,
+            settled=quota_report.settled,
             within_ms=int(1000 * self._longest_period(counting)),
         )
 
--- a/bitterntiller/components/entry/quota.py
+++ b/bitterntiller/components/entry/quota.py
@@ -238,13 +238,13 @@
             for slice_, amount in amount_by_slice.items()
         ]
 
-    def note_acknowledged(self, ledger: str, told: UnacknowledgedUse) -> None:
+    def note_acknowledged(self, ledger: str, report: UnacknowledgedUse) -> None:
         """Record that a ledger has acknowledged a report.
 
         After a lost reply the usage is reported and counted again, which refuses
         requests but never exceeds the quota.
         """
-        self._acknowledged.note(ledger, told.upto)
+        self._acknowledged.note(ledger, report.upto)
 
     def update_level(self, workspace: str, left: float, paced: float) -> None:
         """Update the level of a quota from the reply to a reservation."""
--- a/bitterntiller/components/entry/quota_client.py
+++ b/bitterntiller/components/entry/quota_client.py
@@ -166,7 +166,7 @@
         patience = 0.0 if repeat else self._max_queue_wait(request)
         message = self._message(request, number, patience, repeat)
         try:
-            answer = await self._links.async_call(
+            reply = await self._links.async_call(
                 counting_host.address, message, patience + REPLY_TIMEOUT
             )
         except LinkError:
@@ -178,31 +178,31 @@
             known = self._counting_hosts.incarnation(counting_host.host)
             self._account.abandon_reservation(f"{counting_host.host}/{known}", number)
             raise
-        ledger = f"{counting_host.host}/{answer.incarnation}"
-        return self._verdict(request, answer, ledger, number)
+        ledger = f"{counting_host.host}/{reply.incarnation}"
+        return self._verdict(request, reply, ledger, number)
 
     def _verdict(
         self,
         request: QuotaRequest,
-        answer: messages.QuotaAnswer,
+        reply: messages.QuotaAnswer,
         ledger: str,
         number: int,
     ) -> QuotaVerdict | None:
-        if answer.status not in (QUOTA_RESERVED, QUOTA_REFUSED):
+        if reply.status not in (QUOTA_RESERVED, QUOTA_REFUSED):
             return None
         workspace = request.workspace
-        self._account.update_level(workspace.name, answer.left, answer.paced)
+        self._account.update_level(workspace.name, reply.left, reply.paced)
         verdict = QuotaVerdict(
             None,
             None,
             True,
-            answer.left,
-            answer.paced,
-            answer.ahead,
-            answer.retry_reserved,
+            reply.left,
+            reply.paced,
+            reply.ahead,
+            reply.retry_reserved,
         )
-        if answer.status == QUOTA_REFUSED:
-            return verdict._replace(wait=answer.retry_after_ms / 1000)
+        if reply.status == QUOTA_REFUSED:
+            return verdict._replace(wait=reply.retry_after_ms / 1000)
         hold = self._account.hold_reserved(workspace, request.amount, ledger, number)
         return verdict._replace(hold=hold)
 
--- a/bitterntiller/components/entry/rate_limits.py
+++ b/bitterntiller/components/entry/rate_limits.py
@@ -1,4 +1,4 @@
-"""The rates that upstreams name in their answers."""
+"""The rate limits that upstreams state in their responses."""
 
 import re
 from typing import NamedTuple
@@ -6,18 +6,18 @@
 from bitterntiller.core.interfaces import Ownership
 
 MAX_RATE = 1_000_000.0
-"""Requests a second above which a limit bounds nothing."""
+"""Requests per second above which a limit is ignored, since it limits nothing."""
 
 _DECIMAL = re.compile(r"\s*[0-9]{1,12}(\.[0-9]{0,12})?\s*", re.ASCII)
 
 KEPT_SECONDS = 60.0
-"""How long what an answer named is kept for an owner that takes the pool over."""
+"""How long a limit is kept, for a later owner of the pool."""
 
 MAX_KEPT = 4096
 
 
 def parse_rate(text: str | None) -> float | None:
-    """Return a limit in requests a second, None for no limit or no such number."""
+    """Return a limit in requests per second, None if absent, malformed or too high."""
     if text is None or not _DECIMAL.fullmatch(text):
         return None
     rate = float(text)
@@ -25,7 +25,7 @@
 
 
 class ReportedLimit(NamedTuple):
-    """What an answer named, None for none, and when it began on this host's clock."""
+    """The limit in a response, None if it had none; at is when the response began."""
 
     pool: str
     upstream: str
@@ -35,7 +35,7 @@
 
 
 class RateLimitCache:
-    """The newest limit of each upstream that answers here have named."""
+    """Stores the newest limit of each upstream in responses to this host."""
 
     def __init__(self, most: int = MAX_KEPT) -> None:
         self._most = most
@@ -43,7 +43,7 @@
         self._owner_by_pool: dict[str, Ownership] = {}
 
     def note(self, reported: ReportedLimit) -> None:
-        """Keep what an answer named."""
+        """Store the limit of a response, and drop old ones."""
         self._by_upstream.pop(reported.upstream, None)
         self._by_upstream[reported.upstream] = reported
         oldest = reported.at - KEPT_SECONDS
@@ -55,14 +55,14 @@
     def for_new_owner(
         self, pool: str, owner: Ownership, now: float
     ) -> list[ReportedLimit]:
-        """Return what to tell a pool's owner: all of it once, then nothing."""
+        """Return all limits of a pool for a new owner, nothing if it isn't new."""
         if self._owner_by_pool.get(pool) == owner:
             return []
         self._owner_by_pool[pool] = owner
         return self.for_pool(pool, now)
 
     def for_pool(self, pool: str, now: float) -> list[ReportedLimit]:
-        """Return the limits that answers of a pool's upstreams have named of late."""
+        """Return the recent limits of a pool's upstreams."""
         return [
             reported
             for reported in self._by_upstream.values()
--- a/bitterntiller/components/entry/refusal_responses.py
+++ b/bitterntiller/components/entry/refusal_responses.py
@@ -1,4 +1,4 @@
-"""Answers that no upstream gave: the outcome in a header and a JSON body."""
+"""Responses that this host generates: the outcome in a header, and a JSON body."""
 
 import json
 import math
@@ -9,7 +9,7 @@
 
 
 def refusal_headers(ending: Ending, request_id: str) -> Headers:
-    """Return the headers of an ending; Retry-After is rounded up to seconds."""
+    """Return the headers for an ending; Retry-After is rounded up to whole seconds."""
     headers = [
         (b"content-type", b"application/json"),
         (const.HEADER_REQUEST_ID, request_id.encode()),
@@ -22,7 +22,7 @@
 
 
 def refusal_body(ending: Ending, request_id: str) -> bytes:
-    """Return the JSON body of an ending; retry_after_ms is in milliseconds."""
+    """Return the JSON body for an ending."""
     document = {
         "outcome": ending.outcome,
         "reason": ending.reason,
--- a/bitterntiller/components/entry/registration.py
+++ b/bitterntiller/components/entry/registration.py
@@ -1,4 +1,4 @@
-"""Fourth filter: registers with the pool's owner and waits for its decision."""
+"""Register a request with the owner of its pool and wait for the decision."""
 
 import curio
 
@@ -26,7 +26,7 @@
 async def async_wait_for_grant(
     active: ActiveRequest, context: Context
 ) -> GrantReceived | Ending:
-    """Return the owner's grant, or the ending of a request that was given up."""
+    """Return the owner's grant, or the ending if the request is refused or expires."""
     deadline = active.prepared.identified.deadline
     begun = context.clock.now()
     while True:
@@ -48,7 +48,7 @@
 
 
 async def async_cancel_registration(active: ActiveRequest, context: Context) -> None:
-    """Tell the owner that the request waits no more."""
+    """Notify the owner that the request is no longer waiting."""
     if active.owner is None:
         return
     message = messages.Cancel(request_id=active.request_id, pool=active.pool)
@@ -62,11 +62,11 @@
 
 
 async def _async_register(active: ActiveRequest, context: Context, now: float) -> None:
-    """Register with the present owner, again after a while without news.
+    """Register with the current owner, and again after REREGISTER_AFTER seconds.
 
-    A registration, or the grant for it, is lost when a connection breaks or the
-    owner dies. It would show as a request that waits until its deadline beside
-    idle upstreams. Owners know a request by its id, so that repeating is harmless.
+    The registration or its grant is lost if a connection breaks or the owner dies.
+    Without the repetition the request would wait until its deadline although upstreams
+    are idle. Registering is idempotent, since owners identify requests by id.
     """
     owner = context.directory.owner(active.pool)
     recent = now - active.registered_at < const.REREGISTER_AFTER
--- a/bitterntiller/components/entry/registry.py
+++ b/bitterntiller/components/entry/registry.py
@@ -1,4 +1,4 @@
-"""The live requests of this host, and the messages of owners that concern them."""
+"""The registry of this host's live requests, which receives the messages of owners."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, NamedTuple
@@ -20,17 +20,17 @@
 
 
 class OwnerChanged(NamedTuple):
-    """The pool has another owner, or none."""
+    """Event: the owner of a pool has changed, or the pool has none."""
 
     owner: Ownership | None
 
 
 class LeaseLost(NamedTuple):
-    """The node's configuration lease has run out."""
+    """Event: the lease of this host has expired."""
 
 
 class RequestRegistry:
-    """Holds the live requests by id and posts to them what they wait for."""
+    """Stores live requests by id and delivers events to their mailboxes."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
@@ -39,27 +39,27 @@
         self._add_listeners: list[Callable[[], Awaitable[None]]] = []
 
     def add_listener(self, listener: Callable[[], Awaitable[None]]) -> None:
-        """Have a callback awaited when a request begins to wait."""
+        """Register a callback that is awaited when a request is added."""
         self._add_listeners.append(listener)
 
     async def async_add(self, active: ActiveRequest) -> None:
-        """Take a request that begins to wait."""
+        """Add a request that is about to wait for a grant."""
         self.by_id[active.request_id] = active
         for listener in self._add_listeners:
             await listener()
 
     def remove(self, active: ActiveRequest) -> None:
-        """Forget a request that has ended."""
+        """Remove a request that has ended, and record its end for reports to owners."""
         active.phase = Phase.ENDED
         self.by_id.pop(active.request_id, None)
         self.ended_requests.note(active.request_id, self._context.clock.now())
 
     def pools(self) -> set[str]:
-        """Return the pools for which requests are live here."""
+        """Return the pools with live requests on this host."""
         return {active.pool for active in self.by_id.values()}
 
     async def async_on_grant(self, host: str, message: Any) -> None:
-        """Hand a grant to its request; give back one that nobody waits for."""
+        """Deliver a grant to its request; return it if it is stale."""
         active = self.by_id.get(message.request_id)
         owner = self._context.directory.owner(message.pool)
         issuer = self._context.directory.hosts_by_name.get(host)
@@ -69,23 +69,24 @@
             upstream=message.upstream,
             address=message.address,
             valid_until=self._context.clock.now() + message.valid_ms / 1000,
-            # Not the present owner: with two owners at once the answer has to go
-            # to the one that counts the slot.
+            # Not the current owner's address: with two owners at once, messages on the
+            # grant have to go to the one that counts the slot.
             sender=issuer.address if issuer else "",
             incarnation=message.upstream_incarnation,
             rate_limited=bool(message.rate_limited),
         )
         if active is None or active.phase is not Phase.WAITING:
-            # A caller that left, or a second grant after a failover: without the
-            # return the owner would count the slot as used until it lapses.
+            # The caller has disconnected, or this is a second grant after a failover.
+            # Unless it is returned, the owner counts the slot as used until the grant
+            # expires.
             self._context.metrics.count(const.METRIC_STALE_GRANTS)
             await self.async_return_grant(
                 message.request_id, grant, RETURN_EXPIRED, False
             )
             return
         if owner is not None and message.epoch < owner.epoch:
-            # An owner that was stopped does not know yet that it has lost the
-            # pool; work under its grants would come on top of the new owner's.
+            # A suspended owner may not know yet that it has lost the pool. Requests
+            # under its grants would exceed what the new owner has counted.
             self._context.metrics.count(const.METRIC_STALE_GRANTS)
             await self.async_return_grant(
                 message.request_id, grant, RETURN_EXPIRED, False
@@ -94,7 +95,7 @@
         await active.mailbox.put(grant)
 
     async def async_on_refusal(self, _host: str, message: Any) -> None:
-        """Hand a refusal to its request, unless it is being sent already."""
+        """Deliver a refusal to its request, unless the request is no longer waiting."""
         active = self.by_id.get(message.request_id)
         if active is None or active.phase is not Phase.WAITING:
             return
@@ -104,14 +105,14 @@
     async def async_return_grant(
         self, request_id: str, grant: GrantReceived, reason: str, waiting: bool
     ) -> None:
-        """Give a grant back to the owner that issued it."""
+        """Return a grant to the owner that issued it."""
         if not grant.sender:
             return
         message = returned_message(request_id, grant, reason, waiting)
         await self._context.links.async_send(grant.sender, message)
 
     async def async_post(self, pool: str | None, event: Any) -> None:
-        """Post an event to the waiting requests of a pool, or of all pools."""
+        """Deliver an event to the waiting requests of a pool, or of all pools."""
         for active in list(self.by_id.values()):
             if pool is not None and active.pool != pool:
                 continue
@@ -119,7 +120,7 @@
                 await active.mailbox.put(event)
 
     def running(self, pool: str) -> list[messages.RunningItem]:
-        """Return what may be running in a pool, for its new owner."""
+        """Return the requests of a pool that may be running, for its new owner."""
         now = self._context.clock.now()
         return [
             running_item(active, self._context.host, now)
--- a/bitterntiller/components/entry/relay_headers.py
+++ b/bitterntiller/components/entry/relay_headers.py
@@ -1,4 +1,4 @@
-"""The headers of a relayed answer."""
+"""The headers of a relayed response."""
 
 from bitterntiller.components.entry import const
 from bitterntiller.components.entry.models import ActiveRequest
@@ -10,15 +10,16 @@
 
 
 def outcome_of(status: int) -> Outcome:
-    """Return the outcome of a whole answer with this status."""
+    """Return the outcome of a complete response with this status."""
     return Outcome.FAILED if status >= FIRST_FAILED_STATUS else Outcome.DONE
 
 
 def end_to_end_headers(head: ResponseHead) -> Headers:
-    """Return the headers of an answer that concern more than one connection.
+    """Return the end-to-end headers of a response.
 
-    A length beside chunks says nothing of the body, and one of a stream may count
-    bytes behind its end mark: kept, it would cut an answer that is whole.
+    A Content-Length is dropped if the body is chunked, where it has no meaning, and for
+    event streams, where it may count bytes after the end marker. Otherwise a complete
+    response would be truncated.
     """
     dropped = const.HOP_HEADERS - {b"content-length"}
     dropped = dropped | _named_by_connection(head.headers)
@@ -29,9 +30,9 @@
 
 
 def response_headers(active: ActiveRequest, head: ResponseHead) -> Headers:
-    """Return the headers for the caller.
+    """Return the headers of a relayed response for the caller.
 
-    The outcome stands for an answer that arrives whole; a cut one has none.
+    The outcome header applies only to a complete response; a truncated one has none.
     """
     dropped = const.OWN_HEADERS | {const.HEADER_ADMITTED}
     kept = [item for item in end_to_end_headers(head) if item[0] not in dropped]
@@ -41,13 +42,13 @@
 
 
 def is_event_stream(head: ResponseHead) -> bool:
-    """Tell whether an answer is a stream of events."""
+    """Return whether a response is a stream of server-sent events."""
     content_type = header(head.headers, b"content-type") or ""
     return content_type.lower().startswith(EVENT_STREAM)
 
 
 def _named_by_connection(headers: Headers) -> frozenset[bytes]:
-    """Return the headers that Connection says are for one connection only."""
+    """Return the hop-by-hop headers that the Connection header lists."""
     value = header(headers, b"connection")
     if value is None:
         return frozenset()
--- a/bitterntiller/components/entry/report_schedule.py
+++ b/bitterntiller/components/entry/report_schedule.py
@@ -1,4 +1,4 @@
-"""When an owner is to be reported to next."""
+"""Schedule the reports to an owner."""
 
 from collections.abc import Iterable
 
@@ -13,17 +13,21 @@
     unacknowledged: bool,
     quota_pending: bool,
 ) -> float:
-    """Return the time at which an owner is due for a report.
+    """Return the time at which the next report to an owner is due.
 
-    reported_at is the time of the last one; live has all requests that are live here.
-    pending tells that there is something to tell this owner, and asking that a request
-    waits for its count of quotas.
+    reported_at is the time of the last one; live has all live requests of this host.
+    unacknowledged states that there are changes to report to this owner, and
+    quota_pending that a request waits for this owner's decision on its quota.
     """
     if quota_pending:
         return reported_at + const.REPORT_PERIOD
-    own = [item for item in live if item.owner is not None and item.owner.host == host]
-    waiting = [item.registered_at for item in own if item.phase is Phase.WAITING]
-    busy = own or unacknowledged
+    own_requests = [
+        item for item in live if item.owner is not None and item.owner.host == host
+    ]
+    waiting = [
+        item.registered_at for item in own_requests if item.phase is Phase.WAITING
+    ]
+    busy = own_requests or unacknowledged
     period = const.BUSY_REPORT_PERIOD if busy else const.IDLE_REPORT_PERIOD
     due = reported_at + period
     if not waiting:
--- a/bitterntiller/components/entry/request_parsing.py
+++ b/bitterntiller/components/entry/request_parsing.py
@@ -1,4 +1,4 @@
-"""First filter: the request's own headers, checked once at the edge."""
+"""Parse and validate the project's own headers of a request."""
 
 import uuid
 
@@ -11,7 +11,7 @@
 
 
 def parse_request(head: RequestHead, now: float) -> ReceivedRequest | Ending:
-    """Return the request's own headers, or an ending for malformed ones."""
+    """Return the request with its parsed headers, or a refusal if one is malformed."""
     headers = head.headers
     deadline_text = header(headers, const.HEADER_DEADLINE)
     deadline_ms = None
--- a/bitterntiller/components/entry/routing.py
+++ b/bitterntiller/components/entry/routing.py
@@ -1,4 +1,7 @@
-"""Second filter where the configuration has routes: which route, whose request."""
+"""Determine the route, workspace, service, tier and deadline of a request.
+
+Used instead of the paths of services if the configuration has routes.
+"""
 
 import random
 
@@ -15,13 +18,13 @@
 from bitterntiller.core.outcomes import Ending, Outcome, Reason
 
 ANONYMOUS_WORKSPACE = Workspace("", (), "", (), Selector(), {})
-"""The workspace of requests that need no token."""
+"""The workspace of requests that don't need a token."""
 
 
 def identify_by_route(
     received: ReceivedRequest, config: Config
 ) -> IdentifiedRequest | Ending:
-    """Return the request with its route, workspace, service, tier and deadline."""
+    """Return the request with its route, service, tier and deadline, or a refusal."""
     route = find_route(received.host, received.head.path, config)
     if route is None:
         return _refusal(Reason.NO_SUCH_SERVICE, 404, "no route matches")
@@ -52,7 +55,7 @@
 def find_route(host: str, path: str, config: Config) -> Route | None:
     """Return the route of a host with the longest prefix of a path.
 
-    Prefixes begin and end with a slash, so only the places of slashes are tried.
+    Prefixes begin and end with a slash, so only prefixes up to a slash are looked up.
     """
     routes_by_prefix = config.routes_by_host.get(host)
     if routes_by_prefix is None:
@@ -67,7 +70,7 @@
 
 
 def choose_service(route: Route, config: Config, draw: float) -> Service:
-    """Return the service that a draw from 0 to 1 falls on, by weight."""
+    """Return the service that a random number from 0 to 1 selects by weight."""
     if len(route.shares) == 1:
         return config.services_by_name[route.shares[0].service]
     left = draw * sum(share.weight for share in route.shares)
@@ -81,7 +84,7 @@
 
 
 def tier_name(workspace_rank: int, route_rank: int) -> str:
-    """Return the name of the tier of a workspace's requests on a route."""
+    """Return the name of the tier for a workspace's rank and a route's rank."""
     return f"{workspace_rank}.{route_rank}"
 
 
--- a/bitterntiller/components/entry/send_checks.py
+++ b/bitterntiller/components/entry/send_checks.py
@@ -1,4 +1,4 @@
-"""The checks at the moment of sending."""
+"""Checks immediately before a request is sent."""
 
 from bitterntiller.components.entry import const
 from bitterntiller.components.entry.context import DepartingView
@@ -12,17 +12,17 @@
 UPSTREAM_LEFT = "upstream-left"
 VERSION_WITHDRAWN = "version-withdrawn"
 NOTHING_SENT = frozenset({UPSTREAM_LEFT, VERSION_WITHDRAWN})
-"""Reasons for which an upstream was passed over before anything was sent to it."""
+"""Reasons for which an upstream was rejected before anything was sent to it."""
 
 
 def check_expiry(
     grant: GrantReceived, deadline: float, lease: Lease, now: float
 ) -> str | None:
-    """Return what has run out, None when the request may be sent.
+    """Return what has expired, None if the request may be sent.
 
-    A process that was stopped and goes on after an hour finds its timers late:
-    it would send under a grant, a lease and a deadline that ran out long ago.
-    Every sending therefore asks the clock itself, after all waiting is done.
+    The timers of a process that resumes after having been suspended fire too late: it
+    would send under an expired grant, lease or deadline. So each attempt checks the
+    clock itself, after its last wait.
     """
     if now >= deadline:
         return Reason.TOO_LATE
@@ -38,11 +38,11 @@
     upstreams: DepartingView | None,
     versions: VersionsView | None,
 ) -> str | None:
-    """Return why an upstream gets nothing more though it was granted, None if it does.
+    """Return why a granted upstream must not get the request, None if it may.
 
-    An owner that is cut off from control grants by the last list that it heard, as long
-    as its lease lasts; requests then reach upstreams seconds after these were told that
-    nothing more would come. This host may have heard a newer list.
+    An owner that is partitioned from control grants by its last list of upstreams until
+    its lease expires. Requests would reach upstreams seconds after control has
+    confirmed that they get no more. This host may have a newer list.
     """
     if upstreams is None:
         return None
@@ -55,7 +55,7 @@
 
 
 def version_of(grant: GrantReceived, upstreams: DepartingView | None) -> str:
-    """Return the version of an upstream's software, empty where it isn't known."""
+    """Return the software version of an upstream, empty if it isn't known."""
     if upstreams is None:
         return ""
     return upstreams.labels(grant.upstream).get(LABEL_VERSION, "")
--- a/bitterntiller/components/entry/server.py
+++ b/bitterntiller/components/entry/server.py
@@ -1,4 +1,4 @@
-"""The caller port: health, announcements of upstreams, and the callers' requests."""
+"""HTTP servers of the entry role: callers' requests, announcements, health checks."""
 
 from collections.abc import Callable
 
@@ -21,7 +21,7 @@
 
 
 class CallerPort:
-    """Serves the caller port of one process."""
+    """Serves requests, announcements of upstreams and health checks on one port."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
 
 
 class RequestPort:
-    """Serves requests alone, within the limits that the configuration sets."""
+    """Serves only callers' requests, within the limits of the configuration."""
 
     def __init__(
         self, runtime: Runtime, coordinator: EntryCoordinator, session: NodeCoordinator
@@ -95,12 +95,12 @@
     def _limits(self) -> ServerLimits:
         limits = self._runtime.settings.limits
         timings = self._runtime.settings.timings
-        told = self._config.config.caller_limits
+        configured = self._config.config.caller_limits
         return ServerLimits(
-            head_bytes=told.head_bytes if told else limits.head_bytes,
+            head_bytes=configured.head_bytes if configured else limits.head_bytes,
             connections=limits.connections,
-            head_timeout=told.head_timeout if told else timings.head,
-            keep_alive=told.idle_timeout if told else timings.keep_alive,
+            head_timeout=configured.head_timeout if configured else timings.head,
+            keep_alive=configured.idle_timeout if configured else timings.keep_alive,
             write_timeout=timings.caller_write,
         )
 
@@ -112,16 +112,16 @@
         await self._server.async_serve(self._runtime)
 
     async def async_begin_drain(self) -> None:
-        """Keep no connection open after its present request; new ones are served."""
+        """Close each connection after its current request; accept new ones."""
         await self._server.async_drain()
 
     async def async_close(self) -> None:
-        """Take no new connection."""
+        """Stop accepting connections."""
         await self._server.async_close()
 
 
 class ReadyPort:
-    """Tells at an address of its own whether callers may be sent here."""
+    """Serves a readiness check for load balancers on a separate address."""
 
     def __init__(
         self, runtime: Runtime, listen: Address, path: str, ready: Callable[[], bool]
--- a/bitterntiller/components/entry/sse.py
+++ b/bitterntiller/components/entry/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events: whole events, their ids, the end mark."""
+"""Parse streams of server-sent events: complete events, ids and the end marker."""
 
 import json
 import re
@@ -17,25 +17,24 @@
 
 
 class BrokenStreamError(CodedError):
-    """Raised for a stream that can't be passed on: a gap, or an endless event."""
+    """Raised for a stream that can't be relayed: a gap or an oversized event."""
 
     code = "broken-stream"
 
 
 class Events(NamedTuple):
-    """Whole events: their bytes, and how many of them carry data."""
+    """Complete events: their bytes and their number."""
 
     data: bytes
     count: int
 
 
 class EventStream:
-    """Follows a stream of events up to its end mark.
+    """Tracks the events of a stream up to its end marker.
 
-    Only whole events are passed on, so that a broken stream can be resumed
-    behind the last one that the caller got, without a gap or a repetition. With
-    ends_with_message a stream has no end mark of its own: it ends with its answer, and
-    the ids of its events grow by any step.
+    Only complete events are relayed, so a broken stream can be resumed after the last
+    relayed one, without a gap or a duplicate. With ends_with_response, a stream has no
+    end marker: it ends with its response, and its event ids may increase by any step.
     """
 
     def __init__(self, ends_with_response: bool = False) -> None:
@@ -49,24 +48,24 @@
 
     @property
     def resumable(self) -> bool:
-        """Tell whether the place reached is known.
+        """Return whether the stream can be resumed at its current position.
 
-        A stream without ids could be had again from its start only, and the
-        caller would get its first part twice in an answer that looks whole.
+        A stream without event ids would restart from its beginning, and the caller
+        would get the first part twice in a response that looks complete.
         """
         return self.last_id > 0 or not self._forwarded
 
     def feed(self, data: bytes) -> Events:
-        """Take bytes and return the whole events that they complete.
+        """Append received bytes and return the events that they complete.
 
-        Raise BrokenStreamError when a resumed stream goes on at another event,
-        or an event is over MAX_EVENT_BYTES.
+        Raise BrokenStreamError if a resumed stream continues at the wrong event, or an
+        event is larger than MAX_EVENT_BYTES.
         """
         text = self._partial + data if self._partial else data
         end = _end_of_last_event(text)
         if end < 0:
             if len(text) > MAX_EVENT_BYTES:
-                raise BrokenStreamError(f"an event over {MAX_EVENT_BYTES} bytes")
+                raise BrokenStreamError(f"event larger than {MAX_EVENT_BYTES} bytes")
             self._partial = text
             return Events(b"", 0)
         self._partial = text[end:]
@@ -74,12 +73,12 @@
         return Events(whole, self._note(whole))
 
     def begin_resume(self) -> None:
-        """Forget a part of an event, and let only the next one come first."""
+        """Drop an incomplete event and require the next event id of the stream."""
         self._partial = b""
         self._check_next = True
 
     def is_complete_at_eof(self) -> bool:
-        """Tell whether the stream is whole when its answer ends here."""
+        """Return whether the stream is complete if its response ends here."""
         return self.ended or (self._ends_with_response and not self._partial)
 
     def _note(self, whole: bytes) -> int:
@@ -100,10 +99,10 @@
         return len(events)
 
     def _check(self, events: list[bytes]) -> None:
-        """Refuse a resumed stream that repeats events or leaves some out.
+        """Raise BrokenStreamError if a resumed stream repeats or skips events.
 
-        An upstream that takes no notice of Last-Event-ID sends the stream from its
-        start; the caller would take the repetition for part of its answer.
+        An upstream that ignores Last-Event-ID sends the stream from its start, and the
+        caller would take the duplicate events for a part of the response.
         """
         for event in events:
             number = _event_id(event)
@@ -112,11 +111,11 @@
             expected = self.last_id + 1
             late = self._ends_with_response and number > expected
             if number != expected and not late:
-                raise BrokenStreamError(f"event {number} follows {self.last_id}")
+                raise BrokenStreamError(f"event id {number} follows {self.last_id}")
             self._check_next = False
             return
         if self.last_id and not any(map(_is_end, events)):
-            raise BrokenStreamError("a resumed stream without ids")
+            raise BrokenStreamError("resumed stream has no event ids")
 
     def _note_usage(self, events: list[bytes]) -> None:
         for event in events:
@@ -128,7 +127,7 @@
 
 
 def _end_of_last_event(text: bytes) -> int:
-    """Return the place behind the last event's end, -1 when none has ended."""
+    """Return the offset after the last complete event, -1 without one."""
     end = text.rfind(_EVENT_END)
     if b"\r" not in text:
         return end + len(_EVENT_END) if end >= 0 else -1
--- a/bitterntiller/components/entry/upstream_calls.py
+++ b/bitterntiller/components/entry/upstream_calls.py
@@ -1,4 +1,4 @@
-"""The calls that the entry role makes to upstreams: requests, resumes, cancels."""
+"""Headers and calls of the native dialect to upstreams: request, resume, cancel."""
 
 from bitterntiller.components.entry import const
 from bitterntiller.components.entry.models import ActiveRequest
@@ -10,7 +10,10 @@
 
 
 def request_headers(active: ActiveRequest) -> Headers:
-    """Return the caller's headers less its own and the connection's, with the id."""
+    """Return the headers to forward, with the request id.
+
+    Hop-by-hop headers and those meant for this host are removed.
+    """
     received = active.prepared.identified.received
     dropped = const.HOP_HEADERS | const.OWN_HEADERS
     kept = [item for item in received.head.headers if item[0] not in dropped]
@@ -19,10 +22,10 @@
 
 
 def matches_request(active: ActiveRequest, head: ResponseHead) -> bool:
-    """Tell whether an answer names this request.
+    """Return whether a response carries the id of this request.
 
-    An upstream that mixes up its answers, or a late answer to another request,
-    would show as one caller's answer in another caller's hands.
+    Otherwise a caller could get the response to another caller's request, if an
+    upstream mixes up responses or one arrives late.
     """
     return header(head.headers, const.HEADER_REQUEST_ID) == active.upstream_request_id
 
@@ -30,7 +33,7 @@
 async def async_open_resume(
     active: ActiveRequest, last_id: int, connect_timeout: float, timeout: float
 ) -> ClientExchange | None:
-    """Return an exchange with the stream behind an event, None when there is none."""
+    """Return an exchange with the stream after an event, None if it isn't available."""
     try:
         client = await ClientExchange.async_open(active.address, connect_timeout)
     except ConnectRefusedError:
@@ -52,13 +55,13 @@
 
 
 async def async_cancel_work(request_id: str, address: str) -> bool:
-    """Tell an upstream to stop a request's work; False when it did not hear."""
+    """Cancel a request at its upstream; return whether the upstream confirmed it."""
     target = f"/v1/requests/{request_id}"
     headers = [(const.HEADER_REQUEST_ID, request_id.encode())]
     try:
-        answer = await async_fetch(
+        response = await async_fetch(
             address, "DELETE", target, headers, b"", const.CANCEL_TIMEOUT
         )
     except (ConnectRefusedError, BrokenAnswerError):
         return False
-    return answer.status < 300
+    return response.status < 300
