--- a/bitterntiller/components/control/configuration.py
+++ b/bitterntiller/components/control/configuration.py
@@ -37,7 +37,7 @@
         self.text = b"{}"
         self.outcomes_by_id: dict[str, ChangeOutcome] = {}
         self._document: dict[str, Any] = {}
-        self._forgotten_base = -1
+        self._dropped_base_version = -1
         self._patches: deque[Patch] = deque(maxlen=MAX_PATCHES)
 
     @property
@@ -84,7 +84,7 @@
         this change id; conflict could then contradict an earlier accepted, so the
         status is expired-id.
         """
-        if change.base_version <= self._forgotten_base:
+        if change.base_version <= self._dropped_base_version:
             text = "outcomes of changes as old as this are no longer kept"
             return _reply(STATUS_EXPIRED_ID, self.version, text)
         self._record_outcome(change, STATUS_CONFLICT, digest, time_ms)
@@ -119,7 +119,7 @@
         change_id = next(iter(self.outcomes_by_id))
         outcome = self.outcomes_by_id.pop(change_id)
         base = min(outcome.base_version, outcome.version)
-        self._forgotten_base = max(self._forgotten_base, base)
+        self._dropped_base_version = max(self._dropped_base_version, base)
 
     def patches_since(self, version: int) -> list[Patch] | None:
         """Return the patches that lead from a version to the latest.
@@ -143,7 +143,7 @@
             "version": self.version,
             "number": self.number,
             "document": self._document,
-            "forgotten_base": self._forgotten_base,
+            "forgotten_base": self._dropped_base_version,
             "outcomes": self.outcomes_by_id,
         }
 
@@ -153,7 +153,7 @@
         self.number = document.get("number", 0)
         self._document = document["document"]
         self.text = canonical_json(self._document)
-        self._forgotten_base = document["forgotten_base"]
+        self._dropped_base_version = document["forgotten_base"]
         self._patches.clear()
         self.outcomes_by_id = {
             change_id: ChangeOutcome(*fields)
--- a/bitterntiller/components/control/confirm.py
+++ b/bitterntiller/components/control/confirm.py
@@ -24,21 +24,21 @@
         self._log = log
         self._timeout = timeout
         self._next = _Round()
-        self._wanted = curio.Event()
+        self._requested = curio.Event()
         self.rounds = 0
 
     async def async_confirm(self) -> int | None:
         """Return the log index confirmed after this call, None without a quorum."""
         waiting_for = self._next
-        await self._wanted.set()
+        await self._requested.set()
         await waiting_for.done.wait()
         return waiting_for.index
 
     async def async_run(self) -> None:
         """Run confirmations, one at a time, while callers wait for them."""
         while True:
-            await self._wanted.wait()
-            self._wanted.clear()
+            await self._requested.wait()
+            self._requested.clear()
             current, self._next = self._next, _Round()
             self.rounds += 1
             current.index = await self._log.async_confirm(self._timeout)
--- a/bitterntiller/components/control/coordinator.py
+++ b/bitterntiller/components/control/coordinator.py
@@ -100,14 +100,16 @@
         for cls, handler in handlers.items():
             self._runtime.stack.callback(self._runtime.links.handle(cls, handler))
 
-    async def async_hand_over(self) -> None:
+    async def async_transfer_leadership(self) -> None:
         """Transfer leadership to another host before this one stops.
 
         Wait no longer than an election without a transfer would take.
         """
         if not self._log.is_leader():
             return
-        transferred = await self._log.async_hand_over(self._timings.election_min)
+        transferred = await self._log.async_transfer_leadership(
+            self._timings.election_min
+        )
         logging.info(
             "leadership transfer of control %s",
             "completed" if transferred else "failed",
@@ -227,7 +229,7 @@
         if term is None:
             return self._register_reply(STATUS_NOT_LEADER)
         now = self._clock.now()
-        if not self.state.upstreams.has_room_for(request.upstream.name):
+        if not self.state.upstreams.can_register(request.upstream.name):
             self._runtime.metrics.count(f"control.register_upstream.{STATUS_FULL}")
             return self._register_reply(STATUS_FULL)
         changed = term.registrar.record_announcement(request.upstream, now)
@@ -339,7 +341,7 @@
             self._runtime.metrics.count("control.directory.changed")
 
     async def _async_commit_silence_changes(self) -> None:
-        """Commit which upstreams have become silent or have been silent long enough."""
+        """Commit the upstreams that became silent, or that now count as gone."""
         term = self.leader_term()
         if term is None:
             return
--- a/bitterntiller/components/control/registrar.py
+++ b/bitterntiller/components/control/registrar.py
@@ -12,7 +12,7 @@
 
 
 class Registrar:
-    """Detects silent upstreams during one leader's term.
+    """Tracks announcements and detects silent upstreams during one leader's term.
 
     An upstream that has not announced itself to this leader counts as if it had done so
     at the takeover.
--- a/bitterntiller/components/control/sessions.py
+++ b/bitterntiller/components/control/sessions.py
@@ -78,7 +78,7 @@
         }
 
     def expire(self, now: float, after: float) -> None:
-        """Drop the sessions without a heartbeat for more than some seconds."""
+        """Drop the sessions and grants that are more than after seconds old."""
         gone = [
             host
             for host, item in self.by_host.items()
--- a/bitterntiller/components/control/upstreams.py
+++ b/bitterntiller/components/control/upstreams.py
@@ -93,7 +93,7 @@
             return True
         return _content(known) != _content(announcement)
 
-    def has_room_for(self, name: str) -> bool:
+    def can_register(self, name: str) -> bool:
         """Return whether an upstream is registered or can be registered."""
         return name in self.by_name or len(self.by_name) < MAX_UPSTREAMS
 
--- a/bitterntiller/components/node/client.py
+++ b/bitterntiller/components/node/client.py
@@ -28,15 +28,15 @@
         self._position = 0
         self.leader = addresses[0] if addresses else ""
 
-    def set_discovered(self, addresses: list[str]) -> None:
+    def set_discovered_addresses(self, addresses: list[str]) -> None:
         """Set the control hosts to try in addition to those in the settings."""
         self._addresses = list(dict.fromkeys([*addresses, *self._seeds]))
 
-    def set_seeds(self, addresses: list[str]) -> None:
+    def set_seed_addresses(self, addresses: list[str]) -> None:
         """Replace the control hosts from the settings, after the settings changed."""
         known = [item for item in self._addresses if item not in self._seeds]
         self._seeds = addresses
-        self.set_discovered(known)
+        self.set_discovered_addresses(known)
 
     async def async_call_leader(self, message: Any, timeout: float) -> Any:
         """Return the leader's reply to a message, within timeout seconds.
@@ -65,7 +65,8 @@
     async def async_call_once(self, message: Any, timeout: float) -> Any:
         """Call the presumed leader once; return None if it does not reply.
 
-        The next call goes to the leader that the reply names, if any.
+        If it is not the leader, the next call goes to the leader that the reply names,
+        or else to the next known host.
         """
         address = self.leader
         try:
--- a/bitterntiller/components/node/configuration.py
+++ b/bitterntiller/components/node/configuration.py
@@ -42,7 +42,7 @@
         return self._config
 
     def apply(self, reply: Any) -> bool:
-        """Apply the update in a messages.HeartbeatReply; return whether it changed."""
+        """Apply the update in a messages.HeartbeatReply; return whether one was new."""
         return self.activate(self.prepare(reply))
 
     def prepare(self, reply: Any) -> Prepared | None:
--- a/bitterntiller/components/node/coordinator.py
+++ b/bitterntiller/components/node/coordinator.py
@@ -177,7 +177,7 @@
         )
 
     def apply_reply(self, reply: Any, sent_at: float) -> bool:
-        """Apply a granting messages.HeartbeatReply; return whether the lease extends.
+        """Apply a granting messages.HeartbeatReply; return True if the lease extends.
 
         The lease is valid for the configuration version in the reply. If it were
         extended although that configuration can't be applied, this node would use an
@@ -225,7 +225,7 @@
             self._emit_upstreams()
             self._notify("upstreams")
         if self.directory.apply(reply.directory):
-            self.control_client.set_discovered(self._control_addresses())
+            self.control_client.set_discovered_addresses(self._control_addresses())
             self._notify("directory")
         return True
 
--- a/bitterntiller/components/orders/coordinator.py
+++ b/bitterntiller/components/orders/coordinator.py
@@ -85,7 +85,7 @@
                 await self._async_start(service, orders, order)
 
     def _update_orders(self, service: Service) -> PoolOrders | None:
-        """Return the orders of an owned pool, with a new record for each epoch."""
+        """Return the orders of an owned pool, fresh for each epoch, or None."""
         epoch = self._epoch(service.name)
         orders = self.orders_by_pool.get(service.name)
         if epoch is None:
--- a/bitterntiller/components/replication/coordinator.py
+++ b/bitterntiller/components/replication/coordinator.py
@@ -119,7 +119,7 @@
         self._waiters.drop_read(token, read)
         return None
 
-    async def async_hand_over(self, timeout: float) -> bool:
+    async def async_transfer_leadership(self, timeout: float) -> bool:
         """Transfer leadership before this replica stops; return False if that fails.
 
         Return True at once if this replica is not the leader.
--- a/bitterntiller/core/interfaces.py
+++ b/bitterntiller/core/interfaces.py
@@ -245,7 +245,7 @@
         """
         ...
 
-    async def async_hand_over(self, timeout: float) -> bool:
+    async def async_transfer_leadership(self, timeout: float) -> bool:
         """Have another replica lead before this one stops; False if none does."""
         ...
 
--- a/bitterntiller/daemon/process.py
+++ b/bitterntiller/daemon/process.py
@@ -131,7 +131,7 @@
         await parts.entry.async_begin_drain()
     await _async_hand_over(runtime, parts)
     if parts.control is not None:
-        await parts.control.async_hand_over()
+        await parts.control.async_transfer_leadership()
     if parts.entry is None:
         return EXIT_OK
     async with curio.TaskGroup(wait=any) as group:
--- a/tests/components/control/mutations.py
+++ b/tests/components/control/mutations.py
@@ -36,7 +36,7 @@
     async def confirm(self):
         if self.current is None or self.current.done.is_set():
             self.current = self._next
-            await self._wanted.set()
+            await self._requested.set()
         current = self.current
         await current.done.wait()
         return current.index
@@ -185,7 +185,7 @@
     patch.setattr(claims.ClaimsState, "to_document", lambda self: {"claims": []})
 
 
-def forgotten_base_not_kept(patch):
+def dropped_base_version_not_kept(patch):
     def drop(self):
         del self.outcomes_by_id[next(iter(self.outcomes_by_id))]
 
@@ -214,7 +214,7 @@
     outcomes_not_recorded,
     base_version_not_checked,
     outcomes_lost_in_snapshot,
-    forgotten_base_not_kept,
+    dropped_base_version_not_kept,
     expected_epoch_not_checked,
     released_by_another,
     voided_by_another,
--- a/tests/components/control/test_upstreams.py
+++ b/tests/components/control/test_upstreams.py
@@ -142,8 +142,8 @@
     """Guards against a faulty sender that fills the log with invented names."""
     state = UpstreamsState()
     state.by_name = {str(number): announce() for number in range(MAX_UPSTREAMS)}
-    assert state.has_room_for("7")
-    assert not state.has_room_for("new")
+    assert state.can_register("7")
+    assert not state.can_register("new")
 
 
 def test_state_survives_a_snapshot():
--- a/tests/platform/test_reload.py
+++ b/tests/platform/test_reload.py
@@ -14,7 +14,7 @@
     def __init__(self) -> None:
         self.seeds: list[str] = []
 
-    def set_seeds(self, addresses: list[str]) -> None:
+    def set_seed_addresses(self, addresses: list[str]) -> None:
         self.seeds = addresses
 
 
