--- a/bitterntiller/cli/log_summary.py
+++ b/bitterntiller/cli/log_summary.py
@@ -11,7 +11,7 @@
 
 ENDED = "ended"
 REFUSED = "refused"
-_IN_USE = (UpstreamChange.USABLE, UpstreamChange.WELL, UpstreamChange.RESTARTED)
+_IN_USE = (UpstreamChange.USABLE, UpstreamChange.HEALTHY, UpstreamChange.RESTARTED)
 STEPS = ("start", "voters-answered", "leading", "lease", "owner-answers", "sent")
 """Events that lead from the start of hosts to the first request that is sent."""
 
