--- a/bitterntiller/components/replication/core.py
+++ b/bitterntiller/components/replication/core.py
@@ -35,7 +35,7 @@
 )
 from .state import Role, State
 
-_TERMLESS = (PreVote, PreVoteReply, ReturnCheck, ReturnCheckReply)
+_WITHOUT_TERM_CHECK = (PreVote, PreVoteReply, ReturnCheck, ReturnCheckReply)
 """Messages whose term doesn't make the receiver adopt it: a pre-vote asks for a term
 that its sender has not entered, a startup check only reports the sender's."""
 
@@ -90,8 +90,8 @@
         state = self.state
         if state.retired or is_from_earlier_boot(state, message):
             return
-        if isinstance(message, _TERMLESS):
-            self._receive_termless(message, now)
+        if isinstance(message, _WITHOUT_TERM_CHECK):
+            self._receive_without_term_check(message, now)
             return
         if message.term > state.term:
             state.become_follower(message.term, "", now)
@@ -100,7 +100,7 @@
             return
         self._receive_in_term(message, now)
 
-    def _receive_termless(self, message: Message, now: float) -> None:
+    def _receive_without_term_check(self, message: Message, now: float) -> None:
         state = self.state
         match message:
             case PreVote():
--- a/bitterntiller/components/replication/election.py
+++ b/bitterntiller/components/replication/election.py
@@ -24,12 +24,12 @@
 
 def may_campaign(state: State) -> bool:
     """Return whether this replica may campaign for leadership."""
-    if state.stalled or not (_may_be_needed(state) and state.startup_check.done):
+    if state.stalled or not (_is_or_was_voter(state) and state.startup_check.done):
         return False
     return is_up_to_date(state, state.log.last_term, state.log.last_index)
 
 
-def _may_be_needed(state: State) -> bool:
+def _is_or_was_voter(state: State) -> bool:
     """Return whether this replica is a voter, or was one before an uncommitted change.
 
     While its own removal is uncommitted, it may have the longest log, so that no
--- a/bitterntiller/components/replication/joiner.py
+++ b/bitterntiller/components/replication/joiner.py
@@ -53,17 +53,17 @@
         """Join if not a member, also again after this identity has been retired."""
         while True:
             if join_decisions.needs_joining(self._replica().state, self._own().address):
-                await self._async_ask()
+                await self._async_join()
             await curio.sleep(JOIN_PERIOD)
 
-    async def _async_ask(self) -> None:
+    async def _async_join(self) -> None:
         replica, own = self._replica(), self._own()
         control = self._runtime.settings.control
         seeds = {str(address) for address in control.addresses} - {own.address}
         fresh = join_decisions.is_empty(replica.state)
         request = messages.Join(*own, fresh=fresh)
         replies: list[Any] = []
-        await self._async_ask_all(
+        await self._async_request_all(
             seeds | self._leaders - {own.address}, request, replies
         )
         # A leader that is not a seed is known only from the replies of other hosts.
@@ -79,7 +79,7 @@
             replica.bootstrap(first)
             await self._wake()
 
-    async def _async_ask_all(
+    async def _async_request_all(
         self, addresses: set[str], request: Any, replies: list[Any]
     ) -> None:
         async with curio.TaskGroup() as group:
--- a/bitterntiller/components/replication/leading.py
+++ b/bitterntiller/components/replication/leading.py
@@ -37,7 +37,7 @@
     state.count("terms_led")
     state.caught_up_index = _append_entry(state, EntryKind.NOOP, b"").index
     state.commit_at_heartbeat = state.commit
-    _update_progress(state, now)
+    _update_tracked_followers(state, now)
     advance_commit(state, now)
 
 
@@ -72,7 +72,7 @@
     if not may_change_members(state) or not is_single_change(state.members, new):
         return None
     position = _append_entry(state, EntryKind.MEMBERS, encode_members(new))
-    _update_progress(state, now)
+    _update_tracked_followers(state, now)
     return position
 
 
@@ -82,7 +82,7 @@
     return LogPosition(entry.index, entry.term)
 
 
-def _update_progress(state: State, now: float) -> None:
+def _update_tracked_followers(state: State, now: float) -> None:
     old, last = state.progress_by_replica, state.log.last_index
     state.progress_by_replica = {
         member.replica: old.get(member.replica) or Progress(last, now)
--- a/tests/components/replication/cluster.py
+++ b/tests/components/replication/cluster.py
@@ -149,7 +149,7 @@
                 return True
         return False
 
-    def all_sound(self) -> bool:
+    def all_healthy(self) -> bool:
         return not self.unrepaired_host and self._all_up() and self._full_redundancy()
 
     def apply_effects(self, node: Node) -> None:
--- a/tests/components/replication/explorer.py
+++ b/tests/components/replication/explorer.py
@@ -142,14 +142,14 @@
 
     def lose_disk(self) -> None:
         node = self.any_node()
-        if node is None or not self.all_sound():
+        if node is None or not self.all_healthy():
             return
         self.unrepaired_host = node.host
         self.new_identity(node)
 
     def restore_old_copy(self) -> None:
         node = self.any_node()
-        if node is None or not node.copies or not self.all_sound():
+        if node is None or not node.copies or not self.all_healthy():
             return
         self.unrepaired_host, self.restored_replica = node.host, node.disk.replica
         node.disk = self.rng.choice(node.copies[-12:])
