--- a/bitterntiller/cli/applying.py
+++ b/bitterntiller/cli/change_sender.py
@@ -6,7 +6,7 @@
 import curio
 
 from bitterntiller.cli import const
-from bitterntiller.cli.operator_client import Answer, OperatorClient
+from bitterntiller.cli.operator_client import OperatorClient, OperatorResponse
 from bitterntiller.components.http.errors import ConnectRefusedError, HttpError
 from bitterntiller.components.operator.const import (
     PATH_CONFIG,
@@ -19,10 +19,10 @@
 HTTP_UNAUTHORIZED = 401
 HTTP_CONFLICT = 409
 HTTP_INVALID = 422
-_DECIDED = (HTTP_OK, HTTP_CONFLICT, HTTP_INVALID)
+_FINAL_STATUSES = (HTTP_OK, HTTP_CONFLICT, HTTP_INVALID)
 
 
-class Change(NamedTuple):
+class ConfigChange(NamedTuple):
     """A change to send; the same id and base version at each sending."""
 
     change_id: str
@@ -39,40 +39,44 @@
 
 
 async def async_apply(
-    client: OperatorClient, change: Change, tries: int, first_pause: float
+    client: OperatorClient, change: ConfigChange, tries: int, first_pause: float
 ) -> ApplyResult:
     """Send a change, and again with the same id while its outcome is open.
 
     The ports are tried in turn. first_pause is in seconds; each pause is twice
     as long as the one before, up to a bound.
     """
-    maybe_done = False
+    maybe_applied = False
     pause = first_pause
     problems = "no operator port was reached"
     for count in range(1, tries + 1):
         address = client.addresses[(count - 1) % len(client.addresses)]
         try:
-            answer = await _async_send(client, address, change)
+            response = await _async_send(client, address, change)
         except ConnectRefusedError as error:
-            problems = problems if maybe_done else error.text
+            problems = problems if maybe_applied else error.text
         except HttpError as error:
-            maybe_done = True
+            maybe_applied = True
             problems = error.text
         else:
-            if answer.status in _DECIDED or (answer.status < 500 and not maybe_done):
-                return ApplyResult(_exit_code(answer), answer.value, count)
+            if response.status in _FINAL_STATUSES or (
+                response.status < 500 and not maybe_applied
+            ):
+                return ApplyResult(_exit_code(response), response.value, count)
             # Also after a refusal by one port, an earlier copy may be committed.
-            maybe_done = True
-            problems = str(answer.value.get("text", f"HTTP status {answer.status}"))
+            maybe_applied = True
+            problems = str(response.value.get("text", f"HTTP status {response.status}"))
         if count < tries:
             await curio.sleep(pause)
             pause = min(2 * pause, const.MAX_PAUSE)
-    status = STATUS_UNKNOWN if maybe_done else STATUS_UNAVAILABLE
-    exit_code = const.EXIT_UNKNOWN if maybe_done else const.EXIT_UNREACHABLE
+    status = STATUS_UNKNOWN if maybe_applied else STATUS_UNAVAILABLE
+    exit_code = const.EXIT_UNKNOWN if maybe_applied else const.EXIT_UNREACHABLE
     return ApplyResult(exit_code, {"status": status, "text": problems}, tries)
 
 
-async def _async_send(client: OperatorClient, address: str, change: Change) -> Answer:
+async def _async_send(
+    client: OperatorClient, address: str, change: ConfigChange
+) -> OperatorResponse:
     headers = [
         (b"if-match", f'"{change.base_version}"'.encode()),
         (b"idempotency-key", change.change_id.encode()),
@@ -84,15 +88,15 @@
     return await client.async_call(address, "PUT", PATH_CONFIG, headers, body)
 
 
-def _exit_code(answer: Answer) -> int:
-    if answer.status == HTTP_OK:
+def _exit_code(response: OperatorResponse) -> int:
+    if response.status == HTTP_OK:
         return const.EXIT_OK
-    if answer.status == HTTP_INVALID:
+    if response.status == HTTP_INVALID:
         return const.EXIT_PROBLEMS
-    if answer.status == HTTP_UNAUTHORIZED:
+    if response.status == HTTP_UNAUTHORIZED:
         return const.EXIT_UNAUTHORIZED
-    if answer.value.get("status") == STATUS_EXPIRED_ID:
+    if response.value.get("status") == STATUS_EXPIRED_ID:
         return const.EXIT_REFUSED
-    if answer.status == HTTP_CONFLICT:
+    if response.status == HTTP_CONFLICT:
         return const.EXIT_CONFLICT
     return const.EXIT_REFUSED
--- a/bitterntiller/cli/commands/apply.py
+++ b/bitterntiller/cli/commands/apply.py
@@ -11,9 +11,9 @@
 import curio
 
 from bitterntiller.cli import const
-from bitterntiller.cli.applying import ApplyResult, Change, async_apply
-from bitterntiller.cli.checking import KIND_CONFIGURATION, check_file
+from bitterntiller.cli.change_sender import ApplyResult, ConfigChange, async_apply
 from bitterntiller.cli.errors import UsageError
+from bitterntiller.cli.file_checks import KIND_CONFIGURATION, check_file
 from bitterntiller.cli.operator_client import OperatorClient
 from bitterntiller.cli.options import OperatorOptions, make_client
 from bitterntiller.cli.output import print_error, print_json
@@ -74,14 +74,14 @@
     base = command.base
     if base is None:
         base = int((await client.async_get(PATH_CONFIG))["version"])
-    change = Change(change_id, base, document.value)
+    change = ConfigChange(change_id, base, document.value)
     result = await async_apply(client, change, max(1, command.tries), const.FIRST_PAUSE)
     _show(command, _describe(change, result, document))
     return result.exit_code
 
 
 def _describe(
-    change: Change, result: ApplyResult, document: Document
+    change: ConfigChange, result: ApplyResult, document: Document
 ) -> dict[str, Any]:
     value = result.value | {
         "change_id": change.change_id,
--- a/bitterntiller/cli/commands/check.py
+++ b/bitterntiller/cli/commands/check.py
@@ -9,14 +9,14 @@
 import curio
 
 from bitterntiller.cli import const
-from bitterntiller.cli.checking import (
+from bitterntiller.cli.errors import UnreachableError
+from bitterntiller.cli.file_checks import (
     CheckResult,
     check_file,
     read_upstreams,
     to_upstreams,
 )
-from bitterntiller.cli.errors import UnreachableError
-from bitterntiller.cli.operator_client import OperatorClient, check_answer
+from bitterntiller.cli.operator_client import OperatorClient, check_response
 from bitterntiller.cli.options import OperatorOptions, make_client
 from bitterntiller.cli.output import print_error, print_json
 from bitterntiller.components.config.selectors import LabelledUpstream
@@ -74,10 +74,10 @@
     found = []
     for address in client.addresses:
         try:
-            answer = await client.async_call(address, "GET", PATH_STATE)
+            response = await client.async_call(address, "GET", PATH_STATE)
         except HttpError as error:
             raise UnreachableError(f"{address}: {error.text}") from error
-        found += to_upstreams(check_answer(answer), address)
+        found += to_upstreams(check_response(response), address)
     return found
 
 
--- a/bitterntiller/cli/commands/control.py
+++ b/bitterntiller/cli/commands/control.py
@@ -11,7 +11,7 @@
 from bitterntiller.cli.errors import UsageError
 from bitterntiller.cli.options import OperatorOptions, make_client
 from bitterntiller.cli.output import format_table, format_tree, print_json, print_value
-from bitterntiller.cli.repairing import async_repair
+from bitterntiller.cli.repair_sender import async_repair
 from bitterntiller.components.operator.const import PATH_CONTROL
 
 
--- a/bitterntiller/cli/commands/explain.py
+++ b/bitterntiller/cli/commands/explain.py
@@ -7,35 +7,42 @@
 
 from bitterntiller.cli import const
 from bitterntiller.cli.errors import ToolError
-from bitterntiller.cli.request_trace import Line, lines_of, sampled, tell
+from bitterntiller.cli.request_trace import (
+    LogEvent,
+    open_logs,
+    sample_fractions,
+    trace_request,
+)
 
 
 def run(command: "Explain") -> int:
     """Print the trace of a request and return the exit code."""
-    with lines_of(command.files) as lines:
-        kept = list(lines)
-    trace = tell(kept, command.request_id)
+    with open_logs(command.files) as events:
+        kept = list(events)
+    trace = trace_request(kept, command.request_id)
     if trace is None:
-        raise ToolError(_unknown(command.request_id, sampled(kept)))
-    begin = trace.lines[0].time
-    for line in trace.lines:
-        print(_format(line, begin))
+        raise ToolError(_unknown(command.request_id, sample_fractions(kept)))
+    begin = trace.events[0].time
+    for event in trace.events:
+        print(_format(event, begin))
     print(f"cause: {trace.cause}")
     return const.EXIT_OK
 
 
-def _unknown(request_id: str, part_by_host: dict[str, float]) -> str:
+def _unknown(request_id: str, fraction_by_host: dict[str, float]) -> str:
     text = f"no line names request {request_id}"
-    if not part_by_host:
+    if not fraction_by_host:
         return text
-    parts = ", ".join(f"{host} {part:g}" for host, part in part_by_host.items())
+    parts = ", ".join(
+        f"{host} {fraction:g}" for host, fraction in fraction_by_host.items()
+    )
     return f"{text}; some hosts tell only a part of their requests: {parts}"
 
 
-def _format(line: Line, begin: float) -> str:
-    mark = "*" if line.request else " "
-    fields = " ".join(f"{key}={value}" for key, value in line.fields.items())
-    return f"{line.time - begin:9.4f} {mark} {line.host:16} {line.event:16} {fields}"
+def _format(event: LogEvent, begin: float) -> str:
+    mark = "*" if event.request else " "
+    fields = " ".join(f"{key}={value}" for key, value in event.fields.items())
+    return f"{event.time - begin:9.4f} {mark} {event.host:16} {event.kind:16} {fields}"
 
 
 @cappa.command(invoke=run)
--- a/bitterntiller/cli/commands/summary.py
+++ b/bitterntiller/cli/commands/summary.py
@@ -7,8 +7,8 @@
 
 from bitterntiller.cli import const
 from bitterntiller.cli.errors import ToolError
-from bitterntiller.cli.log_summary import STEPS, Summary, summarize
-from bitterntiller.cli.request_trace import lines_of
+from bitterntiller.cli.log_summary import STARTUP_STEPS, Summary, summarize
+from bitterntiller.cli.request_trace import open_logs
 
 DEFAULT_SPAN = 2.0
 """Seconds; short enough that the loss of a host or of power shows as a span."""
@@ -18,8 +18,8 @@
     """Print the summary of logs and return the exit code."""
     if command.span <= 0:
         raise ToolError("--span: expected seconds above 0")
-    with lines_of(command.files) as lines:
-        summary = summarize(lines, command.span)
+    with open_logs(command.files) as events:
+        summary = summarize(events, command.span)
     if summary is None:
         raise ToolError("no line of ours in these files")
     _print(summary)
@@ -33,31 +33,36 @@
         print(f"{span.begin:7.1f}  " + ", ".join(f"{n} {end}" for end, n in ends))
     print("\nrefused  reason, service, tier: longest and mean wait, mean told time, s")
     for reason, refused in summary.refusals_by_reason.items():
-        times = f"{refused.longest_wait:.2f} {refused.mean_wait:.2f}"
+        times = f"{refused.max_wait:.2f} {refused.mean_wait:.2f}"
         where = f"{reason.reason} {reason.service} {reason.tier}"
-        print(f"{refused.count:7}  {where}: {times} {refused.mean_told:.2f}")
+        print(f"{refused.count:7}  {where}: {times} {refused.mean_retry_after:.2f}")
     print("\nnot done  by upstream")
     for upstream, count in summary.failures_by_upstream.items():
         print(f"{count:8}  {upstream}")
     print("\nasked, served  service, part of its requests")
-    for part, served in summary.served_by_part.items():
-        print(f"{served.asked:5}  {served.served:6}  {part.service} {part.which}")
+    for group, served in summary.served_by_group.items():
+        print(f"{served.received:5}  {served.served:6}  {group.service} {group.group}")
     print(
         "\nasked, refused, return kept  quota of, counted by: longest wait, least left"
     )
     for use in summary.quotas:
-        counts = f"{use.asked:5}  {use.refused:7}  {use.kept:11}"
-        least = f"{use.longest_wait:.2f} s, {use.least_left:.2f}"
-        print(f"{counts}  {use.workspace} {use.counter}: {least}")
-    if summary.part_by_host:
-        parts = [f"{host} {part:g}" for host, part in summary.part_by_host.items()]
+        counts = f"{use.received:5}  {use.refused:7}  {use.kept:11}"
+        least = f"{use.max_wait:.2f} s, {use.min_fraction_left:.2f}"
+        print(f"{counts}  {use.workspace} {use.counting_host}: {least}")
+    if summary.fraction_by_host:
+        parts = [
+            f"{host} {fraction:g}"
+            for host, fraction in summary.fraction_by_host.items()
+        ]
         print(f"\nhosts that tell a part of their requests: {', '.join(parts)}")
     print("\nupstreams that are given no work at the end: seconds, by whom, why")
-    for told in summary.unused:
-        print(f"{told.when:7.1f}  {told.owner} {told.upstream} {told.change}")
-    print("\nseconds from the last start of a host: " + ", ".join(STEPS[1:]))
-    for start in summary.starts:
-        steps = [_seconds(start.seconds_by_step.get(step)) for step in STEPS[1:]]
+    for unused in summary.unused_upstreams:
+        print(f"{unused.when:7.1f}  {unused.owner} {unused.upstream} {unused.change}")
+    print("\nseconds from the last start of a host: " + ", ".join(STARTUP_STEPS[1:]))
+    for start in summary.host_starts:
+        steps = [
+            _seconds(start.seconds_by_step.get(step)) for step in STARTUP_STEPS[1:]
+        ]
         print(f"{start.host:20}" + "".join(steps))
 
 
--- a/bitterntiller/cli/checking.py
+++ b/bitterntiller/cli/file_checks.py
@@ -28,7 +28,7 @@
 KIND_CONFIGURATION = "configuration"
 KIND_UNKNOWN = "unknown"
 
-NOTE_NO_LABELS = (
+NOTE_LABELS_NOT_CHECKED = (
     "selectors were not checked against labels: the configuration has no labels "
     "at its top level, and no upstreams were given"
 )
@@ -115,7 +115,7 @@
     else:
         found = _selector_problems(config, upstreams)
         unchecked = upstreams is None and not config.values_by_label
-        notes = [NOTE_NO_LABELS] if unchecked else []
+        notes = [NOTE_LABELS_NOT_CHECKED] if unchecked else []
     problems = [document.locate(problem) for problem in found]
     return CheckResult(document.file, KIND_CONFIGURATION, problems, notes)
 
--- a/bitterntiller/cli/operator_client.py
+++ b/bitterntiller/cli/operator_client.py
@@ -13,7 +13,7 @@
 HTTP_UNAVAILABLE = 503
 
 
-class Answer(NamedTuple):
+class OperatorResponse(NamedTuple):
     """An answer of an operator port: its HTTP status and JSON object."""
 
     status: int
@@ -34,7 +34,7 @@
         path: str,
         headers: Headers | None = None,
         body: bytes = b"",
-    ) -> Answer:
+    ) -> OperatorResponse:
         """Call one port.
 
         Raise ConnectRefusedError when nothing can have been sent, and
@@ -49,7 +49,7 @@
         response = await async_fetch(
             address, method, path, lines, body, const.CALL_TIMEOUT
         )
-        return Answer(response.status, _json_object(response.body))
+        return OperatorResponse(response.status, _json_object(response.body))
 
     async def async_get(self, path: str) -> dict[str, Any]:
         """Return what the first port that can answer gives.
@@ -72,26 +72,26 @@
         failures = []
         for address in self.addresses:
             try:
-                answer = await self.async_call(address, method, path, body=body)
+                response = await self.async_call(address, method, path, body=body)
             except HttpError as error:
                 failures.append(error.text)
                 continue
-            if answer.status < HTTP_UNAVAILABLE:
-                return check_answer(answer)
-            failures.append(f"{address}: {answer.value.get('text', answer.status)}")
+            if response.status < HTTP_UNAVAILABLE:
+                return check_response(response)
+            failures.append(f"{address}: {response.value.get('text', response.status)}")
         raise UnreachableError("; ".join(failures))
 
 
-def check_answer(answer: Answer) -> dict[str, Any]:
+def check_response(response: OperatorResponse) -> dict[str, Any]:
     """Return the object of a good answer; raise a ToolError for another."""
-    text = str(answer.value.get("text", f"HTTP status {answer.status}"))
-    if answer.status == HTTP_UNAUTHORIZED:
+    text = str(response.value.get("text", f"HTTP status {response.status}"))
+    if response.status == HTTP_UNAUTHORIZED:
         raise UnauthorizedError(text)
-    if answer.status >= HTTP_UNAVAILABLE:
+    if response.status >= HTTP_UNAVAILABLE:
         raise UnreachableError(text)
-    if answer.status >= 300:
+    if response.status >= 300:
         raise ToolError(text)
-    return answer.value
+    return response.value
 
 
 def _json_object(body: bytes) -> dict[str, Any]:
--- a/bitterntiller/cli/output.py
+++ b/bitterntiller/cli/output.py
@@ -26,7 +26,7 @@
 
 def format_table(head: Sequence[str], rows: Sequence[Sequence[Any]]) -> str:
     """Return rows under their heads, in columns as wide as needed."""
-    lines = [tuple(head), *(tuple(map(_shown, row)) for row in rows)]
+    lines = [tuple(head), *(tuple(map(_format_scalar, row)) for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     return "\n".join(_join(line, widths) for line in lines)
 
@@ -36,7 +36,7 @@
     return "  ".join(padded).rstrip()
 
 
-def _shown(value: Any) -> str:
+def _format_scalar(value: Any) -> str:
     if value is None or value == "":
         return "-"
     if isinstance(value, bool):
@@ -55,7 +55,7 @@
     elif isinstance(value, list):
         pairs = [("", item) for item in value]
     else:
-        yield indent + _shown(value)
+        yield indent + _format_scalar(value)
         return
     for key, item in pairs:
         head = f"{indent}{key}:" if key else f"{indent}-"
@@ -63,5 +63,5 @@
             yield head
             yield from _tree_lines(item, indent + "  ")
         else:
-            shown = "none" if isinstance(item, dict | list) else _shown(item)
+            shown = "none" if isinstance(item, dict | list) else _format_scalar(item)
             yield f"{head} {shown}"
--- a/bitterntiller/cli/repairing.py
+++ b/bitterntiller/cli/repair_sender.py
@@ -6,7 +6,11 @@
 import curio
 
 from bitterntiller.cli import const
-from bitterntiller.cli.operator_client import Answer, OperatorClient, check_answer
+from bitterntiller.cli.operator_client import (
+    OperatorClient,
+    OperatorResponse,
+    check_response,
+)
 from bitterntiller.components.http.errors import ConnectRefusedError, HttpError
 from bitterntiller.components.operator.const import (
     PATH_REPAIR,
@@ -42,33 +46,37 @@
             await curio.sleep(pause)
         address = client.addresses[count % len(client.addresses)]
         try:
-            answer = await client.async_call(address, "POST", PATH_REPAIR, body=body)
+            response = await client.async_call(address, "POST", PATH_REPAIR, body=body)
         except ConnectRefusedError as error:
             value = {"status": STATUS_UNAVAILABLE, "text": error.text}
-            result = _open(result, const.EXIT_UNREACHABLE, value)
+            result = _without_response(result, const.EXIT_UNREACHABLE, value)
         except HttpError as error:
             value = {"status": STATUS_UNKNOWN, "text": error.text}
-            result = _open(result, const.EXIT_UNKNOWN, value)
+            result = _without_response(result, const.EXIT_UNKNOWN, value)
         else:
-            result = _judge(result, answer)
+            result = _evaluate_response(result, response)
             if result.exit_code == const.EXIT_OK:
                 return result
     return result
 
 
-def _judge(before: RepairResult, answer: Answer) -> RepairResult:
-    if answer.status >= HTTP_SERVER_ERROR:
-        return _open(before, const.EXIT_UNKNOWN, answer.value)
-    status = check_answer(answer).get("status")
+def _evaluate_response(
+    previous: RepairResult, response: OperatorResponse
+) -> RepairResult:
+    if response.status >= HTTP_SERVER_ERROR:
+        return _without_response(previous, const.EXIT_UNKNOWN, response.value)
+    status = check_response(response).get("status")
     if status == STATUS_DONE:
-        return RepairResult(const.EXIT_OK, answer.value)
+        return RepairResult(const.EXIT_OK, response.value)
     if status == STATUS_RUNNING:
-        return RepairResult(const.EXIT_RUNNING, answer.value)
-    return _open(before, const.EXIT_UNKNOWN, answer.value)
+        return RepairResult(const.EXIT_RUNNING, response.value)
+    return _without_response(previous, const.EXIT_UNKNOWN, response.value)
 
 
-def _open(before: RepairResult, code: int, value: dict[str, Any]) -> RepairResult:
+def _without_response(
+    previous: RepairResult, code: int, value: dict[str, Any]
+) -> RepairResult:
     """Return what is known without an answer: never less than before."""
-    if before.exit_code == const.EXIT_UNREACHABLE:
+    if previous.exit_code == const.EXIT_UNREACHABLE:
         return RepairResult(code, value)
-    return before
+    return previous
--- a/bitterntiller/cli/request_trace.py
+++ b/bitterntiller/cli/request_trace.py
@@ -15,10 +15,10 @@
 ATTR_TIME = "time"
 ATTR_SEQUENCE = "n"
 
-BESIDE_SECONDS = 3.0
+CONTEXT_SECONDS = 3.0
 """Seconds around a request in which what a host came to believe is told with it."""
 
-BELIEFS = frozenset(
+CONTEXT_EVENTS = frozenset(
     {
         "start",
         "stop",
@@ -46,15 +46,15 @@
 """Events that name no request and may still explain one."""
 
 _FINGERPRINT = re.compile(r"fingerprint ([0-9a-f]{16})")
-_LEFT_OUT = frozenset({ATTR_EVENT, ATTR_HOST, ATTR_REQUEST, ATTR_TIME, ATTR_SEQUENCE})
+_NON_FIELDS = frozenset({ATTR_EVENT, ATTR_HOST, ATTR_REQUEST, ATTR_TIME, ATTR_SEQUENCE})
 
 
-class Line(NamedTuple):
+class LogEvent(NamedTuple):
     """One event of a log; fields are those beside time, host and event."""
 
     time: float
     host: str
-    event: str
+    kind: str
     request: str
     fields: dict[str, Any]
 
@@ -62,21 +62,21 @@
 class RequestTrace(NamedTuple):
     """What the logs tell of a request, in the order of time, and how it ended."""
 
-    lines: list[Line]
+    events: list[LogEvent]
     cause: str
 
 
 @contextmanager
-def lines_of(files: list[str]) -> Iterator[Iterator[Line]]:
+def open_logs(files: list[str]) -> Iterator[Iterator[LogEvent]]:
     """Open files of logs, - for standard input, for their lines; raise ToolError."""
     try:
         with fileinput.input(files, encoding="utf-8", errors="replace") as texts:
-            yield read_lines(texts)
+            yield read_events(texts)
     except OSError as error:
         raise ToolError(f"{error.filename}: {error.strerror}") from error
 
 
-def read_lines(texts: Iterable[str]) -> Iterator[Line]:
+def read_events(texts: Iterable[str]) -> Iterator[LogEvent]:
     """Yield the events among lines of text; others are passed over.
 
     Whatever collects the logs may put something before each line.
@@ -90,108 +90,110 @@
         except ValueError:
             continue
         if isinstance(document, dict) and ATTR_EVENT in document:
-            yield _line(document)
+            yield _to_event(document)
 
 
-def _line(document: dict[str, Any]) -> Line:
-    return Line(
+def _to_event(document: dict[str, Any]) -> LogEvent:
+    return LogEvent(
         time=float(document.get(ATTR_TIME, 0.0)),
         host=str(document.get(ATTR_HOST, "")),
-        event=str(document[ATTR_EVENT]),
+        kind=str(document[ATTR_EVENT]),
         request=str(document.get(ATTR_REQUEST, "")),
-        fields={key: document[key] for key in document if key not in _LEFT_OUT},
+        fields={key: document[key] for key in document if key not in _NON_FIELDS},
     )
 
 
-def tell(lines: Iterable[Line], request_id: str) -> RequestTrace | None:
+def trace_request(events: Iterable[LogEvent], request_id: str) -> RequestTrace | None:
     """Return the trace of a request, None when no line names it."""
-    kept = list(lines)
-    own = [line for line in kept if line.request == request_id]
-    if not own:
+    kept = list(events)
+    own_events = [event for event in kept if event.request == request_id]
+    if not own_events:
         return None
-    first = min(line.time for line in own) - BESIDE_SECONDS
-    last = max(line.time for line in own) + BESIDE_SECONDS
-    hosts = {line.host for line in own}
-    beside = [
-        line
-        for line in kept
-        if line.event in BELIEFS
-        and first <= line.time <= last
-        and _concerns(line, hosts, own)
+    first = min(event.time for event in own_events) - CONTEXT_SECONDS
+    last = max(event.time for event in own_events) + CONTEXT_SECONDS
+    hosts = {event.host for event in own_events}
+    context = [
+        event
+        for event in kept
+        if event.kind in CONTEXT_EVENTS
+        and first <= event.time <= last
+        and _is_related(event, hosts, own_events)
     ]
-    crashes = _crashes(kept, own)
-    lines = sorted([*own, *beside, *crashes], key=lambda line: line.time)
-    cause = _cause(sorted(own, key=lambda line: line.time), beside)
+    crashes = _crash_events(kept, own_events)
+    events = sorted([*own_events, *context, *crashes], key=lambda event: event.time)
+    cause = _explain_end(sorted(own_events, key=lambda event: event.time), context)
     if crashes:
-        ended = ", ".join(str(line.fields.get("upstream")) for line in crashes)
+        ended = ", ".join(str(event.fields.get("upstream")) for event in crashes)
         cause = f"{cause}; upstreams that ended under copies of it: {ended}"
-    return RequestTrace(lines, cause)
+    return RequestTrace(events, cause)
 
 
-def _crashes(lines: list[Line], own: list[Line]) -> list[Line]:
+def _crash_events(events: list[LogEvent], own_events: list[LogEvent]) -> list[LogEvent]:
     """Return one line for each upstream that ended under a copy of a request."""
-    fingerprints = {line.fields.get("fingerprint") for line in own} - {None}
-    for line in own:
+    fingerprints = {event.fields.get("fingerprint") for event in own_events} - {None}
+    for event in own_events:
         # A copy that was refused names it in the text that its caller got.
-        fingerprints.update(_FINGERPRINT.findall(str(line.fields.get("detail"))))
-    found: dict[str, Line] = {}
-    for line in sorted(lines, key=lambda line: line.time):
-        fields = line.fields
-        if line.event == "upstream-crashed" and fields["fingerprint"] in fingerprints:
-            found.setdefault(str(fields.get("upstream")), line)
+        fingerprints.update(_FINGERPRINT.findall(str(event.fields.get("detail"))))
+    found: dict[str, LogEvent] = {}
+    for event in sorted(events, key=lambda event: event.time):
+        fields = event.fields
+        if event.kind == "upstream-crashed" and fields["fingerprint"] in fingerprints:
+            found.setdefault(str(fields.get("upstream")), event)
     return list(found.values())
 
 
-def _concerns(line: Line, hosts: set[str], own: list[Line]) -> bool:
-    if line.host in hosts:
+def _is_related(event: LogEvent, hosts: set[str], own_events: list[LogEvent]) -> bool:
+    if event.host in hosts:
         return True
-    names = {item.fields.get("upstream") for item in own} - {None, ""}
-    states = line.fields.get("states") or {}
-    return bool(names & {*states, line.fields.get("upstream")})
+    names = {item.fields.get("upstream") for item in own_events} - {None, ""}
+    states = event.fields.get("states") or {}
+    return bool(names & {*states, event.fields.get("upstream")})
 
 
-def _cause(own: list[Line], beside: list[Line]) -> str:
+def _explain_end(own_events: list[LogEvent], context: list[LogEvent]) -> str:
     """Return in one sentence what the last decision on the request rests on."""
-    last = own[-1]
-    if last.event == "refused":
-        return _refusal(last, own, beside)
-    failures = [line for line in own if line.event == "attempt-ended"]
-    if last.event == "ended" and last.fields.get("outcome") == "done":
-        return _served(last, own, failures)
-    if last.event == "ended":
+    last = own_events[-1]
+    if last.kind == "refused":
+        return _explain_refusal(last, own_events, context)
+    failures = [event for event in own_events if event.kind == "attempt-ended"]
+    if last.kind == "ended" and last.fields.get("outcome") == "done":
+        return _explain_served(last, own_events, failures)
+    if last.kind == "ended":
         text = f"ended as {last.fields.get('outcome')} at {last.fields.get('upstream')}"
-        answers = [line for line in own if line.event == "answer"]
+        answers = [event for event in own_events if event.kind == "answer"]
         if not answers:
             return f"{text}: no answer came from the upstream"
         return f"{text}: its answer had status {answers[-1].fields.get('status')}"
-    return f"the logs end with {last.event}: the process may have ended"
+    return f"the logs end with {last.kind}: the process may have ended"
 
 
-def _refusal(line: Line, own: list[Line], beside: list[Line]) -> str:
-    fields = line.fields
+def _explain_refusal(
+    event: LogEvent, own_events: list[LogEvent], context: list[LogEvent]
+) -> str:
+    fields = event.fields
     text = f"refused with {fields.get('status')}: {fields.get('reason')}"
     lost = [
-        item for item in beside if item.event == "lease" and not item.fields["held"]
+        item for item in context if item.kind == "lease" and not item.fields["held"]
     ]
     if fields.get("reason") == "no-lease" and lost:
-        when = line.time - lost[-1].time
+        when = event.time - lost[-1].time
         return f"{text}; the host lost its lease {when:.1f} s before"
-    counted = [item for item in own if item.event == "quota"]
+    counted = [item for item in own_events if item.kind == "quota"]
     if fields.get("reason") == "quota" and counted:
-        return f"{text}; {_counted(counted[-1])}"
+        return f"{text}; {_explain_quota(counted[-1])}"
     text = f"{text}, after {fields.get('waited')} s of waiting"
-    given_up = [item for item in own if item.event == "given-up"]
+    given_up = [item for item in own_events if item.kind == "given-up"]
     if given_up and given_up[-1].fields.get("upstreams") == 0:
         return f"{text}; its owner knew no upstream for it"
     return text
 
 
-def _counted(line: Line) -> str:
+def _explain_quota(event: LogEvent) -> str:
     """Return what the host that counts quotas decided by."""
-    fields = line.fields
+    fields = event.fields
     kept = "kept" if fields.get("retry_reserved") else "not kept"
     return (
-        f"{line.host} counted {fields.get('level')} to be used and "
+        f"{event.host} counted {fields.get('level')} to be used and "
         f"{fields.get('left')} of {fields.get('of')} left in the window for "
         f"{fields.get('workspace')}, "
         f"{fields.get('amount')} asked for and {fields.get('ahead')} before it in the "
@@ -199,21 +201,23 @@
     )
 
 
-def sampled(lines: Iterable[Line]) -> dict[str, float]:
+def sample_fractions(events: Iterable[LogEvent]) -> dict[str, float]:
     """Return the hosts that tell only a part of their requests, and the part."""
     last = {
-        line.host: float(line.fields.get("part", 1.0))
-        for line in sorted(lines, key=lambda line: line.time)
-        if line.event == "sampling"
+        event.host: float(event.fields.get("part", 1.0))
+        for event in sorted(events, key=lambda event: event.time)
+        if event.kind == "sampling"
     }
-    return {host: part for host, part in last.items() if part < 1}
+    return {host: fraction for host, fraction in last.items() if fraction < 1}
 
 
-def _served(last: Line, own: list[Line], failures: list[Line]) -> str:
-    sent = [line for line in own if line.event == "sent"]
+def _explain_served(
+    last: LogEvent, own_events: list[LogEvent], failures: list[LogEvent]
+) -> str:
+    sent = [event for event in own_events if event.kind == "sent"]
     waited = sent[0].fields.get("waited") if sent else None
     text = f"served after {last.fields.get('total')} s, {waited} s of it waiting"
     if failures:
-        reasons = ", ".join(str(line.fields.get("reason")) for line in failures)
+        reasons = ", ".join(str(event.fields.get("reason")) for event in failures)
         text = f"{text}; sent again after: {reasons}"
     return text
--- a/tests/cli/builders.py
+++ b/tests/cli/builders.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from bitterntiller.cli.operator_client import Answer
+from bitterntiller.cli.operator_client import OperatorResponse
 from bitterntiller.components.http.exchange import Exchange
 from bitterntiller.components.http.server import HttpServer, ServerLimits
 from bitterntiller.components.http.whole import async_serve_whole
@@ -27,7 +27,7 @@
         item = self.script.pop(0)
         if isinstance(item, Exception):
             raise item
-        return Answer(*item)
+        return OperatorResponse(*item)
 
 
 def free_port():
--- a/tests/cli/test_applying.py
+++ b/tests/cli/test_change_sender.py
@@ -2,14 +2,14 @@
 import pytest
 
 from bitterntiller.cli import const
-from bitterntiller.cli.applying import Change, async_apply
+from bitterntiller.cli.change_sender import ConfigChange, async_apply
 from bitterntiller.components.http.errors import (
     BrokenAnswerError,
     ConnectRefusedError,
 )
 from tests.cli.builders import ScriptedClient
 
-CHANGE = Change("id-1", 6, {"tiers": {}})
+CHANGE = ConfigChange("id-1", 6, {"tiers": {}})
 REFUSED = ConnectRefusedError("refused")
 LOST = BrokenAnswerError("lost")
 UNKNOWN = (503, {"status": "unknown", "text": "open"})
--- a/tests/cli/test_check.py
+++ b/tests/cli/test_check.py
@@ -3,7 +3,7 @@
 import pytest
 
 from bitterntiller.cli import const
-from bitterntiller.cli.checking import NOTE_NO_LABELS
+from bitterntiller.cli.file_checks import NOTE_LABELS_NOT_CHECKED
 from tests.components.config.builders import config_document, service, workspace
 from tests.components.settings.builders import settings_value, write_settings
 
@@ -25,7 +25,7 @@
     assert result.code == const.EXIT_OK
     assert f"{settings}: settings, no problems" in result.out
     assert "config.json: configuration, no problems" in result.out
-    assert NOTE_NO_LABELS in result.err
+    assert NOTE_LABELS_NOT_CHECKED in result.err
 
 
 def test_problem_is_printed_with_file_line_and_key(tool, tmp_path):
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -98,7 +98,7 @@
 
 def test_refusal_by_a_quota_tells_who_counted_and_what(tmp_path, capsys):
     """A caller within its quota is refused, and its host knows only the verdict."""
-    counter = write_log(
+    counting_host = write_log(
         tmp_path / "core",
         event(
             10.0,
@@ -118,7 +118,7 @@
     )
     refusal = {"request": "r1", "status": 429, "reason": "quota", "waited": 0.01}
     entry = write_log(tmp_path / "edge", event(10.01, "edge-1", "refused", **refusal))
-    code, text = explained(capsys, "r1", counter, entry)
+    code, text = explained(capsys, "r1", counting_host, entry)
     assert code == const.EXIT_OK
     assert "core-1 counted 50 to be used and 300 of 5000 left" in text
     assert "room is kept for it in 1.5 s" in text
--- a/tests/cli/test_repairing.py
+++ b/tests/cli/test_repair_sender.py
@@ -3,7 +3,7 @@
 
 from bitterntiller.cli import const
 from bitterntiller.cli.errors import ToolError
-from bitterntiller.cli.repairing import async_repair
+from bitterntiller.cli.repair_sender import async_repair
 from bitterntiller.components.http.errors import (
     BrokenAnswerError,
     ConnectRefusedError,
@@ -54,13 +54,13 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "code"),
+    ("response", "code"),
     [
         ((401, {}), const.EXIT_UNAUTHORIZED),
         ((409, {"status": "refused"}), const.EXIT_REFUSED),
     ],
 )
-def test_refused_order_ends_the_command(answer, code):
+def test_refused_order_ends_the_command(response, code):
     with pytest.raises(ToolError) as caught:
-        repair(answer, DONE)
+        repair(response, DONE)
     assert caught.value.exit_code == code
--- a/tests/cli/test_summary.py
+++ b/tests/cli/test_summary.py
@@ -6,9 +6,14 @@
 
 from bitterntiller.cli import const, tool
 from bitterntiller.cli.errors import ToolError
-from bitterntiller.cli.log_summary import Reason, Refusals, Unused, summarize
-from bitterntiller.cli.quota_summary import QuotaUse
-from bitterntiller.cli.request_trace import read_lines
+from bitterntiller.cli.log_summary import (
+    RefusalReason,
+    RefusalStats,
+    UnusedUpstream,
+    summarize,
+)
+from bitterntiller.cli.quota_summary import QuotaDecisions
+from bitterntiller.cli.request_trace import read_events
 from tests.cli.test_explain import event, write_log
 
 
@@ -35,7 +40,7 @@
 def summed(tmp_path: Any, *events: dict[str, Any]) -> Any:
     path = write_log(tmp_path / "log", *events)
     with open(path, encoding="utf-8") as texts:
-        return summarize(read_lines(texts), 2.0)
+        return summarize(read_events(texts), 2.0)
 
 
 def test_ends_are_counted_by_spans_and_reasons(tmp_path):
@@ -51,8 +56,8 @@
         (0.0, {"done": 1, "failed": 1}),
         (4.0, {"refused quota": 2}),
     ]
-    reason = Reason("quota", "llm", "gold")
-    assert found.refusals_by_reason == {reason: Refusals(2, 3.0, 2.0, 0.5)}
+    reason = RefusalReason("quota", "llm", "gold")
+    assert found.refusals_by_reason == {reason: RefusalStats(2, 3.0, 2.0, 0.5)}
     assert found.failures_by_upstream == {"e2": 1}
 
 
@@ -69,7 +74,7 @@
         event(51.9, "core-1", "lease"),
         event(3.0, "edge-9", "lease"),
     )
-    (start,) = found.starts
+    (start,) = found.host_starts
     assert start.host == "core-1"
     steps = {step: round(after, 3) for step, after in start.seconds_by_step.items()}
     assert steps == {"voters-answered": 0.1, "leading": 0.2, "lease": 0.9}
@@ -84,8 +89,8 @@
     for n in (1, 2):
         lines.append({**refused(40.0 + n, 0.1), "tokens": 900 + n, "route": "new"})
     found = {
-        part.which: (served.asked, served.served)
-        for part, served in summed(tmp_path, *lines).served_by_part.items()
+        part.group: (served.received, served.served)
+        for part, served in summed(tmp_path, *lines).served_by_group.items()
     }
     assert found == {
         "all": (20, 18),
@@ -108,7 +113,7 @@
         event(63.0, "core-3", "upstream-use", upstream="e1", change="silent"),
         event(64.0, "core-3", "start"),
     )
-    assert found.unused == [Unused("core-1", "e1", "forgotten", 60.0)]
+    assert found.unused_upstreams == [UnusedUpstream("core-1", "e1", "forgotten", 60.0)]
 
 
 def test_command_prints_all_tables(tmp_path, capsys):
@@ -160,8 +165,8 @@
         event(1.3, "core-1", "sampling", part=0.25, left_out=7),
     )
     with open(path, encoding="utf-8") as texts:
-        found = summarize(read_lines(texts), 2.0)
-    assert found.quotas == [QuotaUse("core-1", "wards", 3, 2, 1, 0.0, 0.02)]
+        found = summarize(read_events(texts), 2.0)
+    assert found.quotas == [QuotaDecisions("core-1", "wards", 3, 2, 1, 0.0, 0.02)]
     assert tool.run(["summary", path]) == const.EXIT_OK
     text = capsys.readouterr().out
     assert "wards core-1: 0.00 s, 0.02" in text
--- a/tests/examples/test_examples.py
+++ b/tests/examples/test_examples.py
@@ -4,7 +4,7 @@
 import pytest
 
 from bitterntiller.cli import const
-from bitterntiller.cli.checking import read_upstreams
+from bitterntiller.cli.file_checks import read_upstreams
 from bitterntiller.cli.tool import run
 from bitterntiller.components.config.parse import parse_config
 from bitterntiller.components.settings.load import load_settings
