--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -11,7 +11,7 @@
 
 from bench.client import Request, Result, async_each, async_request, is_true
 from bench.setup import chat
-from standins.answers import digest
+from standins.responses import digest
 from tests.scenarios import builders
 from tests.scenarios.deployment import Deployment
 
--- a/bench/client.py
+++ b/bench/client.py
@@ -8,7 +8,7 @@
 import curio
 import h11
 
-from standins import answers
+from standins import responses
 from tests.scenarios.caller import text_of
 
 READ_BYTES = 262144
@@ -116,12 +116,14 @@
     """Tell whether a body is the whole and true answer to a request."""
     body = result.body
     if not request.target.startswith("/v1/"):
-        expected = answers.plain_answer(request.method, request.target, request.body)
+        expected = responses.plain_response(
+            request.method, request.target, request.body
+        )
         return body == expected
     streamed = b"data: " in body[:100]
     if streamed and not body.endswith(b"data: [DONE]\n\n"):
         return False
-    return text_of(body) == answers.engine_answer(json.loads(request.body))
+    return text_of(body) == responses.engine_text(json.loads(request.body))
 
 
 async def async_each(
--- a/standins/announcer.py
+++ b/standins/announcer.py
@@ -18,7 +18,7 @@
 CACHE_EVENTS_AT_ONCE = 256
 
 
-async def async_exchange(
+async def async_post(
     address: tuple[str, int], target: str, headers: dict[str, str], body: bytes
 ) -> int:
     """Post a body on a connection of its own and return the status; 0: no answer."""
@@ -53,7 +53,7 @@
         on_accepted: Callable[[], None],
     ) -> None:
         self.leaving = False
-        self.changed = curio.Event()
+        self.announce_now = curio.Event()
         self.cache_events: deque[dict[str, Any]] = deque(maxlen=10_000)
         self.kv_tokens_used = 0
         self._options = options
@@ -75,8 +75,8 @@
         while self._hosts:
             if not self._faults.silent:
                 await self._async_announce()
-            await curio.ignore_after(PERIOD_S, self.changed.wait)
-            self.changed.clear()
+            await curio.ignore_after(PERIOD_S, self.announce_now.wait)
+            self.announce_now.clear()
 
     async def _async_announce(self) -> None:
         body = json.dumps(self._document()).encode()
@@ -91,7 +91,7 @@
         try:
             status = await curio.timeout_after(
                 TIMEOUT_S,
-                async_exchange,
+                async_post,
                 address,
                 "/v1/upstreams/announce",
                 self._headers,
@@ -119,20 +119,20 @@
             "labels": options.labels_by_key,
             "slots": options.slots,
             "kv_tokens": options.kv_tokens,
-            "load": self._load(),
+            "load": self._load_report(),
             "cache_events": events,
         }
 
-    def _load(self) -> dict[str, int]:
+    def _load_report(self) -> dict[str, int]:
         """Return a report that is as late as the options say."""
         now, lag = time.monotonic(), self._options.load_lag_ms / 1000
         self._loads.append((now, self._running(), self.kv_tokens_used))
         while len(self._loads) > 1 and self._loads[1][0] <= now - lag:
             self._loads.popleft()
-        measured, held, used = self._loads[0]
+        measured, active, used = self._loads[0]
         return {
-            "running": min(held, self._options.slots),
-            "waiting": max(0, held - self._options.slots),
+            "running": min(active, self._options.slots),
+            "waiting": max(0, active - self._options.slots),
             "kv_tokens": used,
             "age_ms": int((now - measured) * 1000),
         }
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -83,7 +83,7 @@
     once: Annotated[bool, cappa.Arg(long=True, help="end after the requests")] = False
 
 
-def settings_of(host: Host) -> dict[str, Any]:
+def host_settings(host: Host) -> dict[str, Any]:
     """Return the settings document of a host."""
     return {
         "host": host.name,
@@ -130,7 +130,7 @@
     """Start the hosts with settings files of their own."""
     for host in HOSTS:
         path = FOLDER / f"{host.name}.json"
-        path.write_text(json.dumps(settings_of(host), indent=2))
+        path.write_text(json.dumps(host_settings(host), indent=2))
         module = "bitterntiller.cli.daemon"
         start(stack, host.name, module, ["--settings", str(path)])
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -13,17 +13,17 @@
 import h11
 
 from standins.faults import Faults
+from standins.generation import BYTES_PER_TOKEN, Generation
 from standins.options import Options
-from standins.orders import OrderBook
+from standins.orders import OrderExecutor
 from standins.prefix_cache import PrefixCache
 from standins.server import Connection, Request, Server
-from standins.work import BYTES_PER_TOKEN, Work
 
 CHAT_PATH = "/v1/chat/completions"
 COMPLETION_PATH = "/v1/completions"
 REQUESTS_PATH = "/v1/requests/"
 EXIT_CRASHED = 70
-NOT_ADMITTED = {"X-Admitted": "false", "Retry-After": "1"}
+NOT_ADMITTED_HEADERS = {"X-Admitted": "false", "Retry-After": "1"}
 
 
 @dataclass(kw_only=True)
@@ -47,8 +47,8 @@
         self.server = Server(options, self.async_handle)
         self._options = options
         self._slots = curio.Semaphore(options.slots)
-        self._orders = OrderBook(self.server)
-        self._works_by_id: OrderedDict[str, Work] = OrderedDict()
+        self._orders = OrderExecutor(self.server)
+        self._generations_by_id: OrderedDict[str, Generation] = OrderedDict()
         self._cache = PrefixCache(
             options.cache_prefixes, self.server.announcer.cache_events
         )
@@ -59,7 +59,7 @@
         """Answer one request."""
         path = request.target.split("?")[0]
         if request.method == "POST" and path in (CHAT_PATH, COMPLETION_PATH):
-            await self._async_run(connection, request, faults.take())
+            await self._async_run(connection, request, faults.consume())
         elif request.method == "GET" and path.startswith(REQUESTS_PATH):
             await self._async_resume(connection, request, faults)
         elif request.method == "DELETE" and path.startswith(REQUESTS_PATH):
@@ -67,168 +67,178 @@
         elif request.method == "POST" and path == "/v1/orders":
             await self._orders.async_handle(connection, request)
         else:
-            await connection.async_answer(404, {"error": "no such path"})
+            await connection.async_respond(404, {"error": "no such path"})
 
     async def _async_run(
         self, connection: Connection, request: Request, faults: Faults
     ) -> None:
-        echo = {"X-Request-Id": request.request_id, **self._named_limit()}
-        if faults.not_admit or self.server.full():
-            await connection.async_answer(503, {"error": "full"}, echo | NOT_ADMITTED)
+        headers = {"X-Request-Id": request.request_id, **self._rate_limit_header()}
+        if faults.not_admit or self.server.is_full():
+            await connection.async_respond(
+                503, {"error": "full"}, headers | NOT_ADMITTED_HEADERS
+            )
             return
         chat = request.target.startswith(CHAT_PATH)
         try:
             body = json.loads(request.body)
-            work = Work(request.request_id, body, chat=chat)
+            generation = Generation(request.request_id, body, chat=chat)
         except (ValueError, KeyError, TypeError, AttributeError) as err:
-            await connection.async_answer(400, {"error": repr(err)}, echo)
+            await connection.async_respond(400, {"error": repr(err)}, headers)
             return
-        self.server.recorder.admit(request)
+        self.server.recorder.record_run(request)
         if random.random() < faults.fail:
-            self.server.recorder.add("failed", request_id=work.request_id)
-            await connection.async_answer(500, {"error": "failed"}, echo)
+            self.server.recorder.add("failed", request_id=generation.request_id)
+            await connection.async_respond(500, {"error": "failed"}, headers)
             return
-        self._forget_old()
-        self._works_by_id[work.request_id] = work
+        self._expire_finished()
+        self._generations_by_id[generation.request_id] = generation
         self.server.running += 1
-        work.task = await curio.spawn(self._async_work, work, daemon=True)
+        generation.task = await curio.spawn(
+            self._async_execute, generation, daemon=True
+        )
         if faults.drop_answers:
-            await self._async_drop(connection, work)
+            await self._async_drop_response(connection, generation)
         elif body.get("stream"):
-            await self._async_stream(connection, work, 0, faults)
+            await self._async_stream(connection, generation, 0, faults)
         else:
-            await self._async_whole(connection, work, faults)
+            await self._async_send_whole(connection, generation, faults)
 
-    async def _async_work(self, work: Work) -> None:
+    async def _async_execute(self, generation: Generation) -> None:
         try:
             async with self._slots:
-                self._crash(work)
-                await self._async_fill(work)
-            self.server.recorder.add("done", request_id=work.request_id)
+                self._crash_if_marked(generation)
+                await self._async_generate(generation)
+            self.server.recorder.add("done", request_id=generation.request_id)
         except curio.TaskCancelled:
-            self.server.recorder.add("cancelled", request_id=work.request_id)
+            self.server.recorder.add("cancelled", request_id=generation.request_id)
             raise
         finally:
             self.server.running -= 1
-            self.server.announcer.kv_tokens_used -= work.prompt_tokens()
-            await work.async_end()
+            self.server.announcer.kv_tokens_used -= generation.prompt_tokens()
+            await generation.async_finish()
 
-    def _crash(self, work: Work) -> None:
+    def _crash_if_marked(self, generation: Generation) -> None:
         """End the process, and all work in it, at a request that it can't survive."""
         mark = self._options.crash_mark
-        if mark and mark in work.prompt:
-            self.server.recorder.add("crash", request_id=work.request_id)
+        if mark and mark in generation.prompt:
+            self.server.recorder.add("crash", request_id=generation.request_id)
             os._exit(EXIT_CRASHED)
 
-    async def _async_fill(self, work: Work) -> None:
-        prompt = work.prompt.encode()
-        self.server.announcer.kv_tokens_used += work.prompt_tokens()
-        work.cached_bytes = self._cache.take(prompt)
-        fresh = work.prompt_tokens() - work.cached_bytes // BYTES_PER_TOKEN
+    async def _async_generate(self, generation: Generation) -> None:
+        prompt = generation.prompt.encode()
+        self.server.announcer.kv_tokens_used += generation.prompt_tokens()
+        generation.cached_bytes = self._cache.lookup_and_store(prompt)
+        fresh = generation.prompt_tokens() - generation.cached_bytes // BYTES_PER_TOKEN
         due = time.monotonic()
         due += fresh * self._options.prefill_us / 1e6 * self.server.faults.slow
-        for index in range(work.max_tokens):
+        for index in range(generation.max_tokens):
             due += self._options.token_ms / 1000 * self.server.faults.slow
             pause = due - time.monotonic()
             if pause > 0:
                 await curio.sleep(pause)
-            work.add_token(index)
+            generation.add_token(index)
             if pause > 0:
-                await work.async_wake()
-        work.add_end()
+                await generation.async_notify()
+        generation.add_final_events()
 
-    async def _async_drop(self, connection: Connection, work: Work) -> None:
-        await work.async_wait()
+    async def _async_drop_response(
+        self, connection: Connection, generation: Generation
+    ) -> None:
+        await generation.async_wait_finished()
         connection.reset()
 
-    async def _async_whole(
-        self, connection: Connection, work: Work, faults: Faults
+    async def _async_send_whole(
+        self, connection: Connection, generation: Generation, faults: Faults
     ) -> None:
         await curio.sleep(faults.delay_s)
-        await work.async_wait()
+        await generation.async_wait_finished()
         if faults.reset_after >= 0:
             connection.reset()
         if faults.stall_after >= 0:
-            await connection.async_wait_gone()
+            await connection.async_wait_closed()
             connection.reset()
-        echo = {"X-Request-Id": echoed(work.request_id, faults)}
-        echo |= self._named_limit()
-        await connection.async_answer(200, work.whole_answer(), echo)
+        headers = {"X-Request-Id": echoed_request_id(generation.request_id, faults)}
+        headers |= self._rate_limit_header()
+        await connection.async_respond(200, generation.response_document(), headers)
 
     async def _async_stream(
-        self, connection: Connection, work: Work, after: int, faults: Faults
+        self, connection: Connection, generation: Generation, after: int, faults: Faults
     ) -> None:
         await curio.sleep(faults.delay_s)
         fields = {
             "Content-Type": "text/event-stream",
             "Transfer-Encoding": "chunked",
-            "X-Request-Id": echoed(work.request_id, faults),
-            **self._named_limit(),
+            "X-Request-Id": echoed_request_id(generation.request_id, faults),
+            **self._rate_limit_header(),
         }
         if faults.reset_after == 0:
             connection.reset()
         head = h11.Response(status_code=200, headers=list(fields.items()))
-        sent, stop = 0, first_bound(faults)
-        while piece := await work.async_next(after + sent):
+        sent, stop = 0, first_break(faults)
+        while piece := await generation.async_events_after(after + sent):
             piece = piece[: stop - sent] if stop >= 0 else piece
             parts = [h11.Data(data=event) for event in piece]
             await connection.async_send(*([head] if sent == 0 else []), *parts)
             sent += len(piece)
             if sent == stop:
-                await self._async_break(connection, faults)
+                await self._async_break_stream(connection, faults)
                 return
         if sent == 0:
             await connection.async_send(head)
-        if not work.events or b"[DONE]" not in work.events[-1]:
+        if not generation.events or b"[DONE]" not in generation.events[-1]:
             connection.reset()  # cancelled: never a clean end of a part
         await connection.async_send(h11.EndOfMessage())
 
-    async def _async_break(self, connection: Connection, faults: Faults) -> None:
+    async def _async_break_stream(self, connection: Connection, faults: Faults) -> None:
         if faults.end_after >= 0:
             await connection.async_send(h11.EndOfMessage())
             return
         if faults.stall_after >= 0:
-            await connection.async_wait_gone()
+            await connection.async_wait_closed()
         connection.reset()
 
     async def _async_resume(
         self, connection: Connection, request: Request, faults: Faults
     ) -> None:
         request_id = request.target.removeprefix(REQUESTS_PATH).removesuffix("/stream")
-        work = self._works_by_id.get(request_id)
-        if work is None or faults.forget:
-            echo = {"X-Request-Id": request_id}
-            await connection.async_answer(404, {"error": "unknown"}, echo)
+        generation = self._generations_by_id.get(request_id)
+        if generation is None or faults.forget:
+            headers = {"X-Request-Id": request_id}
+            await connection.async_respond(404, {"error": "unknown"}, headers)
             return
         self.server.recorder.add("resume", request_id=request_id)
         after = int(request.headers.get("last-event-id", "0"))
-        await self._async_stream(connection, work, after, faults.take())
+        await self._async_stream(connection, generation, after, faults.consume())
 
     async def _async_cancel(self, connection: Connection, request_id: str) -> None:
-        work = self._works_by_id.get(request_id)
-        if work is not None and work.task is not None and not work.ended:
-            await work.task.cancel()
-        await connection.async_answer(204, b"", {"X-Request-Id": request_id})
-
-    def _named_limit(self) -> dict[str, str]:
+        generation = self._generations_by_id.get(request_id)
+        if (
+            generation is not None
+            and generation.task is not None
+            and not generation.finished
+        ):
+            await generation.task.cancel()
+        await connection.async_respond(204, b"", {"X-Request-Id": request_id})
+
+    def _rate_limit_header(self) -> dict[str, str]:
         limit = self.server.faults.rate_limit
         return {} if limit < 0 else {"X-Rate-Limit": f"{limit:g}"}
 
-    def _forget_old(self) -> None:
+    def _expire_finished(self) -> None:
         oldest = time.monotonic() - self._options.keep_s
-        while self._works_by_id:
-            work = next(iter(self._works_by_id.values()))
-            if not work.ended or work.ended_at > oldest:
+        while self._generations_by_id:
+            generation = next(iter(self._generations_by_id.values()))
+            if not generation.finished or generation.finished_at > oldest:
                 return
-            del self._works_by_id[work.request_id]
+            del self._generations_by_id[generation.request_id]
 
 
-def echoed(request_id: str, faults: Faults) -> str:
+def echoed_request_id(request_id: str, faults: Faults) -> str:
     """Return the request id that an answer carries."""
     return f"not-{request_id}" if faults.wrong_id else request_id
 
 
-def first_bound(faults: Faults) -> int:
+def first_break(faults: Faults) -> int:
     """Return after how many events a stream breaks, -1 for never."""
     bounds = (faults.reset_after, faults.stall_after, faults.end_after)
     return min((bound for bound in bounds if bound >= 0), default=-1)
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -37,7 +37,7 @@
         for name, value in (known | document).items():
             setattr(self, name, value)
 
-    def take(self) -> "Faults":
+    def consume(self) -> "Faults":
         """Return the faults that hit the request that arrives now."""
         if self.times == 0:
             return Faults()
--- a/standins/work.py
+++ b/standins/generation.py
@@ -6,25 +6,25 @@
 
 import curio
 
-from standins import answers
+from standins import responses
 
 BYTES_PER_TOKEN = 4
 
 
-class Work:
+class Generation:
     """One request being worked on; its events are kept so that it can be resumed."""
 
     def __init__(self, request_id: str, body: dict[str, Any], *, chat: bool) -> None:
         self.request_id = request_id
-        self.prompt = answers.prompt_text(body)
-        self.max_tokens = answers.max_tokens(body)
+        self.prompt = responses.prompt_text(body)
+        self.max_tokens = responses.max_tokens(body)
         self.chat = chat
         self.cached_bytes = 0
         self.events: list[bytes] = []
-        self.ended = False
-        self.ended_at = 0.0
+        self.finished = False
+        self.finished_at = 0.0
         self.task: curio.Task | None = None
-        self.grown = curio.Event()
+        self.updated = curio.Event()
 
     def prompt_tokens(self) -> int:
         return max(1, len(self.prompt.encode()) // BYTES_PER_TOKEN)
@@ -40,19 +40,19 @@
         }
 
     def add_token(self, index: int) -> None:
-        text = answers.token(self.prompt, index)
+        text = responses.token(self.prompt, index)
         last = index == self.max_tokens - 1
         choice: dict[str, Any] = {"index": 0, "finish_reason": "stop" if last else None}
         choice |= {"delta": {"content": text}} if self.chat else {"text": text}
         self._add_event(json.dumps({"id": self.request_id, "choices": [choice]}))
 
-    def add_end(self) -> None:
+    def add_final_events(self) -> None:
         usage = {"id": self.request_id, "choices": [], "usage": self.usage()}
         self._add_event(json.dumps(usage))
         self._add_event("[DONE]")
 
-    def whole_answer(self) -> dict[str, Any]:
-        tokens = (answers.token(self.prompt, n) for n in range(self.max_tokens))
+    def response_document(self) -> dict[str, Any]:
+        tokens = (responses.token(self.prompt, n) for n in range(self.max_tokens))
         text = "".join(tokens)
         choice: dict[str, Any] = {"index": 0, "finish_reason": "stop"}
         if self.chat:
@@ -65,24 +65,24 @@
         number = len(self.events) + 1
         self.events.append(f"id: {number}\ndata: {data}\n\n".encode())
 
-    async def async_end(self) -> None:
+    async def async_finish(self) -> None:
         """Note that no more events come."""
-        self.ended = True
-        self.ended_at = time.monotonic()
-        await self.async_wake()
+        self.finished = True
+        self.finished_at = time.monotonic()
+        await self.async_notify()
 
-    async def async_wake(self) -> None:
+    async def async_notify(self) -> None:
         """Wake all that wait for more events."""
-        await self.grown.set()
-        self.grown = curio.Event()
+        await self.updated.set()
+        self.updated = curio.Event()
 
-    async def async_next(self, after: int) -> list[bytes]:
+    async def async_events_after(self, after: int) -> list[bytes]:
         """Return the events after a number once there are any; none at the end."""
-        while len(self.events) <= after and not self.ended:
-            await self.grown.wait()
+        while len(self.events) <= after and not self.finished:
+            await self.updated.wait()
         return self.events[after:]
 
-    async def async_wait(self) -> None:
+    async def async_wait_finished(self) -> None:
         """Return when no more events come."""
-        while not self.ended:
-            await self.grown.wait()
+        while not self.finished:
+            await self.updated.wait()
--- a/standins/orders.py
+++ b/standins/orders.py
@@ -6,7 +6,7 @@
 from standins.server import Connection, Request, Server
 
 
-class OrderBook:
+class OrderExecutor:
     """Carries out orders, checking fences and repeated ids where labels say so."""
 
     def __init__(self, server: Server) -> None:
@@ -21,14 +21,14 @@
         if labels.get("orders") == "idempotent":
             earlier = self._results_by_id.get(order["order_id"])
             if earlier is not None:
-                await connection.async_answer(200, earlier)
+                await connection.async_respond(200, earlier)
                 return
         checked = labels.get("fencing") == "checked"
         if checked and order["fence"] < self._highest_fence:
-            await connection.async_answer(409, {"error": "old fence"})
+            await connection.async_respond(409, {"error": "old fence"})
             return
         self._highest_fence = max(self._highest_fence, order["fence"])
         self._server.recorder.add("order", **{"order": order})
         result = {"status": "done", "order_id": order["order_id"]}
         self._results_by_id[order["order_id"]] = result
-        await connection.async_answer(200, result)
+        await connection.async_respond(200, result)
--- a/standins/plain.py
+++ b/standins/plain.py
@@ -6,11 +6,11 @@
 import cappa
 import curio
 
-from standins import answers
-from standins.engine import NOT_ADMITTED, echoed
+from standins import responses
+from standins.engine import NOT_ADMITTED_HEADERS, echoed_request_id
 from standins.faults import Faults
 from standins.options import Options
-from standins.orders import OrderBook
+from standins.orders import OrderExecutor
 from standins.server import Connection, Request, Server
 
 
@@ -27,7 +27,7 @@
     def __init__(self, options: PlainOptions) -> None:
         self.server = Server(options, self.async_handle)
         self._options = options
-        self._orders = OrderBook(self.server)
+        self._orders = OrderExecutor(self.server)
         self._slots = curio.Semaphore(options.slots)
 
     async def async_handle(
@@ -39,18 +39,20 @@
             return
         if request.target.startswith("/v1/requests/"):
             status = 204 if request.method == "DELETE" else 404
-            await connection.async_answer(status, {"error": "plain"})
+            await connection.async_respond(status, {"error": "plain"})
             return
-        await self._async_execute(connection, request, faults.take())
+        await self._async_execute(connection, request, faults.consume())
 
     async def _async_execute(
         self, connection: Connection, request: Request, faults: Faults
     ) -> None:
-        echo = {"X-Request-Id": echoed(request.request_id, faults)}
-        if faults.not_admit or self.server.full():
-            await connection.async_answer(503, {"error": "full"}, echo | NOT_ADMITTED)
+        headers = {"X-Request-Id": echoed_request_id(request.request_id, faults)}
+        if faults.not_admit or self.server.is_full():
+            await connection.async_respond(
+                503, {"error": "full"}, headers | NOT_ADMITTED_HEADERS
+            )
             return
-        self.server.recorder.admit(request)
+        self.server.recorder.record_run(request)
         self.server.running += 1
         try:
             async with self._slots:
@@ -60,11 +62,11 @@
         self.server.recorder.add("done", request_id=request.request_id)
         await curio.sleep(faults.delay_s)
         if faults.stall_after >= 0:
-            await connection.async_wait_gone()
+            await connection.async_wait_closed()
         if faults.drop_answers or faults.reset_after >= 0 or faults.stall_after >= 0:
             connection.reset()
-        body = answers.plain_answer(request.method, request.target, request.body)
-        await connection.async_answer(200, body, echo)
+        body = responses.plain_response(request.method, request.target, request.body)
+        await connection.async_respond(200, body, headers)
 
 
 def main() -> None:
--- a/standins/prefix_cache.py
+++ b/standins/prefix_cache.py
@@ -17,7 +17,7 @@
         self._sequence = 0
         self._hashes: OrderedDict[int, None] = OrderedDict()
 
-    def take(self, prompt: bytes) -> int:
+    def lookup_and_store(self, prompt: bytes) -> int:
         """Return how many bytes of a prompt were cached, and cache its prefixes."""
         cached, length = 0, SMALLEST_PREFIX_BYTES
         while length <= len(prompt):
@@ -27,13 +27,13 @@
                 self._hashes.move_to_end(prefix_hash)
             else:
                 self._hashes[prefix_hash] = None
-                self._tell(prefix_hash, stored=True)
+                self._append_event(prefix_hash, stored=True)
             length *= 2
         while len(self._hashes) > self._size:
-            self._tell(self._hashes.popitem(last=False)[0], stored=False)
+            self._append_event(self._hashes.popitem(last=False)[0], stored=False)
         return cached
 
-    def _tell(self, prefix_hash: int, *, stored: bool) -> None:
+    def _append_event(self, prefix_hash: int, *, stored: bool) -> None:
         self._sequence += 1
         signed = prefix_hash - (1 << 64) if prefix_hash >> 63 else prefix_hash
         event = {"sequence": self._sequence, "stored": stored, "prefix_hash": signed}
--- a/standins/answers.py
+++ b/standins/responses.py
@@ -25,7 +25,7 @@
     return hashlib.sha256(f"{index}:{prompt}".encode()).hexdigest()[:6] + " "
 
 
-def engine_answer(body: dict[str, Any]) -> str:
+def engine_text(body: dict[str, Any]) -> str:
     """Return the whole text that an engine answers to a request."""
     prompt = prompt_text(body)
     return "".join(token(prompt, index) for index in range(max_tokens(body)))
@@ -36,7 +36,7 @@
     return hashlib.sha256(body).hexdigest()[:32]
 
 
-def plain_answer(method: str, target: str, body: bytes) -> bytes:
+def plain_response(method: str, target: str, body: bytes) -> bytes:
     """Return the body that the plain service answers to a request."""
     document = {"method": method, "target": target, "digest": digest(body)}
     return json.dumps(document).encode() + b"\n"
--- a/standins/server.py
+++ b/standins/server.py
@@ -12,15 +12,15 @@
 from curio.io import Socket
 
 from standins.announcer import Announcer
-from standins.answers import digest
 from standins.faults import Faults
 from standins.options import Options, parse_address
+from standins.responses import digest
 
 READ_BYTES = 65536
 LINGER_RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"
 
 
-class ConnectionLost(Exception):  # noqa: N818
+class ConnectionLostError(Exception):
     """Raised when the peer is gone or a fault ends the connection."""
 
 
@@ -68,9 +68,9 @@
         try:
             await self._sock.sendall(data)
         except OSError as err:
-            raise ConnectionLost from err
+            raise ConnectionLostError from err
 
-    async def async_answer(
+    async def async_respond(
         self, status: int, document: Any, headers: dict[str, str] | None = None
     ) -> None:
         """Send a whole answer; document is JSON or bytes that are JSON already."""
@@ -88,7 +88,7 @@
             h11.EndOfMessage(),
         )
 
-    async def async_wait_gone(self) -> None:
+    async def async_wait_closed(self) -> None:
         """Return when the peer has closed, as one that waits for an answer may."""
         while await self._sock.recv(READ_BYTES):
             pass
@@ -98,9 +98,9 @@
         self._sock.setsockopt(
             system_socket.SOL_SOCKET, system_socket.SO_LINGER, LINGER_RESET
         )
-        raise ConnectionLost
+        raise ConnectionLostError
 
-    def reusable(self) -> bool:
+    def is_reusable(self) -> bool:
         return self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
 
 
@@ -118,7 +118,7 @@
         self._file.write(json.dumps(line) + "\n")
         self._file.flush()
 
-    def admit(self, request: Request) -> None:
+    def record_run(self, request: Request) -> None:
         """Record a request whose work begins now."""
         self.add(
             "run",
@@ -143,18 +143,18 @@
         self.faults = Faults()
         self.recorder = Recorder(options)
         self.announcer = Announcer(
-            options, self.faults, lambda: self.running, self._note_accepted
+            options, self.faults, lambda: self.running, self._on_accepted
         )
         self._accepted = False
         self.running = 0
         self._handler = handler
         self._listener: Any = None
-        self._accepting: curio.Task | None = None
+        self._accept_task: curio.Task | None = None
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         return self.running >= self.options.limit
 
-    def _note_accepted(self) -> None:
+    def _on_accepted(self) -> None:
         if not self._accepted:
             self.recorder.add("accepted")
         self._accepted = True
@@ -171,7 +171,7 @@
         await Socket(reader).recv(1)
         self.recorder.add("leaving")
         self.announcer.leaving = True
-        await self.announcer.changed.set()
+        await self.announcer.announce_now.set()
         earliest = time.monotonic() + self.options.leave_s
         while self.running or time.monotonic() < earliest:
             await curio.sleep(0.05)
@@ -180,14 +180,14 @@
     async def _async_open(self) -> None:
         address = parse_address(self.options.listen)
         self._listener = curio.tcp_server_socket(*address, backlog=1024)
-        self._accepting = await curio.spawn(
+        self._accept_task = await curio.spawn(
             self._async_accept, self._listener, daemon=True
         )
 
     async def _async_close(self) -> None:
-        if self._accepting is not None:
-            await self._accepting.cancel()
-            self._accepting = None
+        if self._accept_task is not None:
+            await self._accept_task.cancel()
+            self._accept_task = None
             await self._listener.close()
 
     async def _async_accept(self, listener: Any) -> None:
@@ -202,9 +202,9 @@
             try:
                 while (request := await connection.async_read()) is not None:
                     await self._async_handle(connection, request)
-                    if not connection.reusable():
+                    if not connection.is_reusable():
                         return
-            except (ConnectionLost, OSError, h11.ProtocolError):
+            except (ConnectionLostError, OSError, h11.ProtocolError):
                 return
 
     async def _async_handle(self, connection: Connection, request: Request) -> None:
@@ -217,11 +217,11 @@
         try:
             self.faults.set(json.loads(request.body or b"{}"))
         except ValueError as err:
-            await connection.async_answer(400, {"error": str(err)})
+            await connection.async_respond(400, {"error": str(err)})
             return
         if self.faults.refuse_connect:
             await self._async_close()
-        elif self._accepting is None:
+        elif self._accept_task is None:
             await self._async_open()
-        await self.announcer.changed.set()
-        await connection.async_answer(200, vars(self.faults))
+        await self.announcer.announce_now.set()
+        await connection.async_respond(200, vars(self.faults))
--- a/tests/bench/test_chaos.py
+++ b/tests/bench/test_chaos.py
@@ -6,12 +6,12 @@
 
 from bench.chaos import faults_of
 from bench.client import Request, Result
-from standins import answers
+from standins import responses
 
 BODY = json.dumps({"request": "r1"}).encode()
 REQUEST = Request("POST", "/bonds", {}, BODY)
-WHOLE = answers.plain_answer("POST", "/bonds", BODY)
-OTHER = answers.plain_answer("POST", "/bonds", b"another")
+WHOLE = responses.plain_response("POST", "/bonds", BODY)
+OTHER = responses.plain_response("POST", "/bonds", b"another")
 
 
 def result(status: int = 200, outcome: str = "done", **changes: object) -> Result:
@@ -40,7 +40,7 @@
 def test_short_stream_with_its_end_mark_is_seen() -> None:
     body = json.dumps({"prompt": "a", "max_tokens": 3, "stream": True}).encode()
     request = Request("POST", "/v1/completions", {}, body)
-    texts = [answers.token("a", index) for index in range(3)]
+    texts = [responses.token("a", index) for index in range(3)]
     events = [
         b"data: " + json.dumps({"choices": [{"text": t}]}).encode() for t in texts
     ]
--- a/tests/scenarios/caller.py
+++ b/tests/scenarios/caller.py
@@ -10,7 +10,7 @@
 
 import h11
 
-from standins import answers
+from standins import responses
 
 READ_BYTES = 65536
 PATIENCE_S = 60.0
@@ -134,7 +134,7 @@
             return self.answer.endswith(b"data: [DONE]\n\n") and self._text_is_true()
         if b'"choices"' in self.answer:
             return self._text_is_true()
-        expected = answers.plain_answer(self.method, self.target, self.body)
+        expected = responses.plain_response(self.method, self.target, self.body)
         return self.answer == expected
 
     @property
@@ -143,7 +143,7 @@
         return self.ended and not self.cut and self.status == 200
 
     def _text_is_true(self) -> bool:
-        return text_of(self.answer) == answers.engine_answer(json.loads(self.body))
+        return text_of(self.answer) == responses.engine_text(json.loads(self.body))
 
 
 def text_of(answer: bytes) -> str:
--- a/tests/scenarios/repeats.py
+++ b/tests/scenarios/repeats.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from standins.answers import digest
+from standins.responses import digest
 from tests.scenarios import builders
 from tests.scenarios.caller import Call
 from tests.scenarios.doing import Doing
--- a/tests/scenarios/runner.py
+++ b/tests/scenarios/runner.py
@@ -43,7 +43,7 @@
 from pathlib import Path
 from typing import Any
 
-from standins.answers import digest
+from standins.responses import digest
 from tests.scenarios import builders
 from tests.scenarios.caller import Call
 from tests.scenarios.control_steps import ControlSteps
