--- a/bench/client.py
+++ b/bench/client.py
@@ -9,7 +9,7 @@
 import h11
 
 from standins import responses
-from tests.scenarios.caller import text_of
+from tests.scenarios.caller import response_text
 
 READ_BYTES = 262144
 
@@ -123,7 +123,7 @@
     streamed = b"data: " in body[:100]
     if streamed and not body.endswith(b"data: [DONE]\n\n"):
         return False
-    return text_of(body) == responses.engine_text(json.loads(request.body))
+    return response_text(body) == responses.engine_text(json.loads(request.body))
 
 
 async def async_each(
--- a/bench/control_setup.py
+++ b/bench/control_setup.py
@@ -64,13 +64,13 @@
     def ready(self, name: str) -> bool:
         """Tell whether a host takes new work."""
         port = self.hosts_by_name[name].ports["caller"]
-        return self.ask(port, "GET", "/readyz")[0] == 200
+        return self.send_request(port, "GET", "/readyz")[0] == 200
 
     def control(self, names: Iterable[str] = REPLICAS) -> dict[str, Any]:
         """Return what the leader tells of control, asked at the first that can."""
         for name in names:
             port = self.hosts_by_name[name].ports["operator"]
-            status, body, _ = self.ask(port, "GET", "/v1/control")
+            status, body, _ = self.send_request(port, "GET", "/v1/control")
             if status == 200:
                 return dict(body)
         return {}
@@ -86,7 +86,7 @@
         while time.monotonic() < until:
             port = int(self.control().get("leader", ":0").rpartition(":")[2])
             for host in self.hosts_by_name.values():
-                if host.told_port == port:
+                if host.advertised_port == port:
                     return host.name
             time.sleep(POLL_S)
         raise TimeoutError("no leader")
@@ -94,7 +94,7 @@
     def state(self, name: str) -> dict[str, Any]:
         """Return the dump of a host, empty when there is none."""
         port = self.hosts_by_name[name].ports["operator"]
-        status, body, _ = self.ask(port, "GET", "/v1/state")
+        status, body, _ = self.send_request(port, "GET", "/v1/state")
         return dict(body) if status == 200 else {}
 
     def counter(self, name: str, counter: str) -> int:
@@ -112,7 +112,7 @@
 
     def make_client(self) -> ControlClient:
         """Return a client on the internal ports, to be used under curio."""
-        told = [f"127.0.0.1:{self.hosts_by_name[n].told_port}" for n in REPLICAS]
+        told = [f"127.0.0.1:{self.hosts_by_name[n].advertised_port}" for n in REPLICAS]
         own = Address("127.0.0.1", free_port())
         key = (self.folder / "internal.key").read_bytes().strip()
         clock = RuntimeClock()
--- a/bench/control_system.py
+++ b/bench/control_system.py
@@ -151,7 +151,9 @@
             threading.Thread(target=watch, args=(name,))
             for name in deployment.hosts_by_name
         ]
-        status, _, _ = deployment.ask(port, "PUT", "/v1/config", config, headers)
+        status, _, _ = deployment.send_request(
+            port, "PUT", "/v1/config", config, headers
+        )
         accepted = time.monotonic() - begun
         assert status == 200, status
         for thread in threads:
@@ -266,7 +268,7 @@
             try:
                 figures = system.command.run(deployment)
             except Exception:
-                print(deployment.describe_ends(), file=sys.stderr)
+                print(deployment.log_tails(), file=sys.stderr)
                 raise
         figures["took_s"] = round(time.monotonic() - begun, 1)
         figures["load_1m"] = [round(load, 1), round(os.getloadavg()[0], 1)]
--- a/bench/setup.py
+++ b/bench/setup.py
@@ -43,7 +43,9 @@
     _wait("the configuration", lambda: _apply(deployment))
     for name, host in deployment.hosts_by_name.items():
         port = host.ports["caller"]
-        _wait(name, lambda p=port: deployment.ask(p, "GET", "/readyz")[0] == 200)
+        _wait(
+            name, lambda p=port: deployment.send_request(p, "GET", "/readyz")[0] == 200
+        )
     upstreams = len(deployment.upstreams_by_name)
     _wait("upstreams", lambda: len(deployment.records("accepted")) == upstreams)
 
--- a/tests/scenarios/doing.py
+++ b/tests/scenarios/background.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable
 from typing import Any
 
-PATIENCE_S = 40.0
+TASK_TIMEOUT_S = 40.0
 """Seconds in which what is told to stop must have ended."""
 
 
-class Doing:
+class BackgroundTask:
     """Something that runs in threads until it is through or told to stop."""
 
     def __init__(self) -> None:
@@ -19,11 +19,13 @@
     def start(self, runs: list[Callable[[], None]]) -> None:
         """Run each in a thread."""
         for run in runs:
-            thread = threading.Thread(target=self._guard, args=(run,), daemon=True)
+            thread = threading.Thread(
+                target=self._run_and_record_error, args=(run,), daemon=True
+            )
             self._threads.append(thread)
             thread.start()
 
-    def _guard(self, run: Callable[[], None]) -> None:
+    def _run_and_record_error(self, run: Callable[[], None]) -> None:
         try:
             run()
         except Exception as error:  # told by the next expectation
@@ -33,9 +35,9 @@
         """Have it end, and wait until it has."""
         self.stopping = True
         for thread in self._threads:
-            thread.join(PATIENCE_S)
+            thread.join(TASK_TIMEOUT_S)
 
-    def find(self, what: str) -> Any:
+    def read_value(self, what: str) -> Any:
         """Return what a scenario may expect, by name."""
         assert not self.error, self.error
         if what == "ended":
--- a/tests/scenarios/caller.py
+++ b/tests/scenarios/caller.py
@@ -13,7 +13,7 @@
 from standins import responses
 
 READ_BYTES = 65536
-PATIENCE_S = 60.0
+RESPONSE_TIMEOUT_S = 60.0
 
 
 @dataclass
@@ -40,22 +40,22 @@
 
     def start(self) -> None:
         """Send the request and follow its answer."""
-        threading.Thread(target=self.follow, daemon=True).start()
+        threading.Thread(target=self.send_and_receive, daemon=True).start()
 
-    def go_away(self) -> None:
+    def disconnect(self) -> None:
         """Close the connection, as a caller does that has lost its patience."""
         if self._socket is not None:
             self._socket.shutdown(socket.SHUT_RDWR)
 
-    def follow(self) -> None:
+    def send_and_receive(self) -> None:
         """Send the request and follow its answer to the end."""
         begun = time.monotonic()
         http = h11.Connection(h11.CLIENT)
         try:
             self._socket = socket.create_connection(("127.0.0.1", self.port))
-            self._socket.settimeout(PATIENCE_S)
+            self._socket.settimeout(RESPONSE_TIMEOUT_S)
             self._socket.sendall(self._request_bytes(http))
-            self._follow(http, self._socket, begun)
+            self._receive(http, self._socket, begun)
         except (OSError, h11.ProtocolError):
             self.cut = True
         finally:
@@ -76,7 +76,7 @@
             data += http.send(h11.Data(data=self.body)) or b""
         return data + (http.send(h11.EndOfMessage()) or b"")
 
-    def _follow(self, http: h11.Connection, sock: socket.socket, begun: float) -> None:
+    def _receive(self, http: h11.Connection, sock: socket.socket, begun: float) -> None:
         while True:
             event = http.next_event()
             if event is h11.NEED_DATA:
@@ -143,10 +143,12 @@
         return self.ended and not self.cut and self.status == 200
 
     def _text_is_true(self) -> bool:
-        return text_of(self.answer) == responses.engine_text(json.loads(self.body))
+        return response_text(self.answer) == responses.engine_text(
+            json.loads(self.body)
+        )
 
 
-def text_of(answer: bytes) -> str:
+def response_text(answer: bytes) -> str:
     """Return the text that the events or the JSON of an engine's answer carry."""
     if not answer.startswith(b"{"):
         lines = [part for part in answer.splitlines() if part.startswith(b"data: {")]
--- a/tests/scenarios/control_steps.py
+++ b/tests/scenarios/control_steps.py
@@ -25,19 +25,24 @@
 from pathlib import Path
 from typing import Any
 
+from tests.scenarios.background import BackgroundTask
 from tests.scenarios.deployment import Deployment
-from tests.scenarios.doing import Doing
 from tests.scenarios.load import PLAIN_TARGET, Load
-from tests.scenarios.operators import Burst, Race, Read, Watch
-from tests.scenarios.processes import ROOT, has
-from tests.scenarios.repeats import Repeats, Supervisor
+from tests.scenarios.operators import (
+    ChangeSeries,
+    ConcurrentChanges,
+    ConfigRead,
+    VersionWatch,
+)
+from tests.scenarios.processes import ROOT, value_at
+from tests.scenarios.repeated_request import RepeatedRequest, Supervisor
 
 TOOL = "bitterntiller.cli.tool"
 TOOL_TIMEOUT_S = 60.0
-LEADER_PATIENCE_S = 15.0
+LEADER_TIMEOUT_S = 15.0
 
 
-def parse_at(words: list[str]) -> tuple[list[str], list[str], dict[str, str]]:
+def split_at_hosts(words: list[str]) -> tuple[list[str], list[str], dict[str, str]]:
     """Part "names at hosts key=value"."""
     options = dict(word.split("=", 1) for word in words if "=" in word)
     plain = [word for word in words if "=" not in word]
@@ -52,10 +57,10 @@
 
     def __init__(self) -> None:
         self.hosts_by_alias: dict[str, str] = {}
-        self.doings_by_name: dict[str, Doing] = {}
-        self.notes_by_name: dict[str, Any] = {}
+        self.tasks_by_name: dict[str, BackgroundTask] = {}
+        self.noted_values_by_name: dict[str, Any] = {}
 
-    def replace(self, words: list[str]) -> list[str]:
+    def resolve_aliases(self, words: list[str]) -> list[str]:
         """Return the words of a step with the hosts behind the aliases."""
         return [self.hosts_by_alias.get(word, word) for word in words]
 
@@ -64,7 +69,7 @@
         return [host.ports["operator"] for host in found]
 
     def _do_roles(self, words: list[str]) -> None:
-        until = time.monotonic() + LEADER_PATIENCE_S
+        until = time.monotonic() + LEADER_TIMEOUT_S
         while (leader := self._find_leader()) is None:
             assert time.monotonic() < until, "no leader"
             time.sleep(0.1)
@@ -77,86 +82,90 @@
         hosts_by_name = self._deployment.hosts_by_name
         for host in hosts_by_name.values():
             port = host.ports["operator"]
-            status, body, _ = self._deployment.ask(port, "GET", "/v1/control")
+            status, body, _ = self._deployment.send_request(port, "GET", "/v1/control")
             if status != 200:
                 continue
             port = int(body["leader"].rpartition(":")[2])
-            return next(h.name for h in hosts_by_name.values() if h.told_port == port)
+            return next(
+                h.name for h in hosts_by_name.values() if h.advertised_port == port
+            )
         return None
 
     def _do_changes(self, words: list[str]) -> None:
-        (name,), hosts, options = parse_at(words)
+        (name,), hosts, options = split_at_hosts(words)
         count, pause = int(options["count"]), float(options.get("pause", "0"))
         ports = self._operator_ports(hosts)
-        burst = Burst(self._deployment.ask, ports, name, count, pause)
-        self.doings_by_name[name] = burst
+        burst = ChangeSeries(self._deployment.send_request, ports, name, count, pause)
+        self.tasks_by_name[name] = burst
 
     def _do_race(self, words: list[str]) -> None:
-        (name,), hosts, options = parse_at(words)
-        heard = "heard" in hosts
+        (name,), hosts, options = split_at_hosts(words)
+        reads_response = "heard" in hosts
         ports = self._operator_ports([host for host in hosts if host != "heard"])
         after = float(options.get("after", "0"))
-        race = Race(self._deployment.ask, ports, name, after, heard)
-        self.doings_by_name[name] = race
+        race = ConcurrentChanges(
+            self._deployment.send_request, ports, name, after, reads_response
+        )
+        self.tasks_by_name[name] = race
 
     def _do_resend(self, words: list[str]) -> None:
-        (name,), hosts, _ = parse_at(words)
-        doing = self.doings_by_name[name]
-        assert isinstance(doing, Burst | Race)
-        doing.resend(self._operator_ports(hosts))
+        (name,), hosts, _ = split_at_hosts(words)
+        task = self.tasks_by_name[name]
+        assert isinstance(task, ChangeSeries | ConcurrentChanges)
+        task.resend(self._operator_ports(hosts))
 
     def _do_watch(self, words: list[str]) -> None:
-        (name,), hosts, _ = parse_at(words)
+        (name,), hosts, _ = split_at_hosts(words)
         (port,) = self._operator_ports(hosts)
-        self.doings_by_name[name] = Watch(self._deployment.ask, port)
+        self.tasks_by_name[name] = VersionWatch(self._deployment.send_request, port)
 
     def _do_read(self, words: list[str]) -> None:
-        (name,), hosts, _ = parse_at(words)
+        (name,), hosts, _ = split_at_hosts(words)
         (port,) = self._operator_ports(hosts)
-        self.doings_by_name[name] = Read(self._deployment.ask, port)
+        self.tasks_by_name[name] = ConfigRead(self._deployment.send_request, port)
 
     def _do_load(self, words: list[str]) -> None:
-        (name,), hosts, options = parse_at(words)
+        (name,), hosts, options = split_at_hosts(words)
         found = (self._deployment.hosts_by_name[host] for host in hosts)
         ports = [host.ports["caller"] for host in found]
         each = int(options.get("each", "2"))
         target = options.get("target", PLAIN_TARGET)
         load = Load(ports, self._deployment.records, name, each, target)
-        self.doings_by_name[name] = load
+        self.tasks_by_name[name] = load
 
     def _do_supervise(self, words: list[str]) -> None:
-        (name,), upstreams, options = parse_at(words)
+        (name,), upstreams, options = split_at_hosts(words)
         processes = [self._deployment.process(upstream) for upstream in upstreams]
-        self.doings_by_name[name] = Supervisor(processes, float(options["after"]))
+        self.tasks_by_name[name] = Supervisor(processes, float(options["after"]))
 
     def _do_repeats(self, words: list[str]) -> None:
-        (name,), hosts, options = parse_at(words)
+        (name,), hosts, options = split_at_hosts(words)
         found = (self._deployment.hosts_by_name[host] for host in hosts)
         ports = [host.ports["caller"] for host in found]
-        self.doings_by_name[name] = Repeats(
+        self.tasks_by_name[name] = RepeatedRequest(
             ports, self._deployment.records, options["mark"], float(options["every"])
         )
 
     def _do_stop(self, names: list[str]) -> None:
         for name in names:
-            self.doings_by_name[name].stop()
+            self.tasks_by_name[name].stop()
 
     def _do_print(self, words: list[str]) -> None:
         name, what = words
-        print(name, what, self.doings_by_name[name].find(what))
+        print(name, what, self.tasks_by_name[name].read_value(what))
 
     def _do_note(self, words: list[str]) -> None:
         name, host, what = words
-        self.notes_by_name[f"${name}"] = self._find(host, what)
+        self.noted_values_by_name[f"${name}"] = self._read_value(host, what)
 
-    def _find(self, name: str, what: str) -> Any:
+    def _read_value(self, name: str, what: str) -> Any:
         raise NotImplementedError
 
-    def _find_of_control(self, host: str, what: str) -> Any:
+    def _read_control(self, host: str, what: str) -> Any:
         """Return a value of GET /v1/control, told by the leader."""
         (port,) = self._operator_ports([host])
-        document = self._deployment.ask(port, "GET", "/v1/control")[1]
-        return has(document, f"control.{what}")
+        document = self._deployment.send_request(port, "GET", "/v1/control")[1]
+        return value_at(document, f"control.{what}")
 
     def _data(self, host: str) -> Path:
         assert self._deployment.process(host).exit_code() is not None, "runs still"
@@ -185,7 +194,7 @@
             logs[-1].write_bytes(content)
 
     def _do_repair(self, words: list[str]) -> None:
-        _, hosts, options = parse_at(words)
+        _, hosts, options = split_at_hosts(words)
         arguments = ["control", "repair"]
         for port in self._operator_ports(hosts):
             arguments += ["--operator", f"127.0.0.1:{port}"]
--- a/tests/scenarios/deployment.py
+++ b/tests/scenarios/deployment.py
@@ -8,7 +8,7 @@
 from typing import Any, Self
 
 from tests.scenarios import builders
-from tests.scenarios.processes import Process, describe_end, free_port, sockets_at
+from tests.scenarios.processes import Process, free_port, log_tail, socket_names_at_port
 from tests.scenarios.proxy import Proxy
 
 DAEMON = "bitterntiller.cli.daemon"
@@ -27,7 +27,7 @@
         self.proxy: Proxy | None = None
 
     @property
-    def told_port(self) -> int:
+    def advertised_port(self) -> int:
         """The internal port that other hosts are told."""
         return self.proxy.port if self.proxy else self.ports["internal"]
 
@@ -73,7 +73,7 @@
         host = Host(name, options)
         self.hosts_by_name[name] = host
         if proxied:
-            host.proxy = Proxy(host.ports["internal"], self._name_of_port)
+            host.proxy = Proxy(host.ports["internal"], self._host_at_port)
             self._stack.callback(host.proxy.close)
 
     def start_host(self, name: str) -> None:
@@ -130,18 +130,18 @@
     def set_faults(self, name: str, document: dict[str, Any]) -> None:
         """Order faults from a stand-in."""
         port = self.upstreams_by_name[name].control_port
-        status, body, _ = self.ask(port, "POST", "/v1/faults", document)
+        status, body, _ = self.send_request(port, "POST", "/v1/faults", document)
         assert status == 200, body
 
     def apply(self, host: str, config: dict[str, Any]) -> int:
         """Have a configuration accepted by a host's operator port; the status."""
         port = self.hosts_by_name[host].ports["operator"]
-        status, body, headers = self.ask(port, "GET", "/v1/config")
+        status, body, headers = self.send_request(port, "GET", "/v1/config")
         if status != 200:
             return status
         match = {"If-Match": headers.get("etag", f'"{body.get("version", 0)}"')}
         key = {"Idempotency-Key": uuid.uuid4().hex}
-        answer = self.ask(port, "PUT", "/v1/config", config, match | key)[0]
+        answer = self.send_request(port, "PUT", "/v1/config", config, match | key)[0]
         self.configured = self.configured or answer == 200
         return answer
 
@@ -151,14 +151,14 @@
         A host is ready without one, and gets the first one by its next heartbeat.
         """
         ports = self.hosts_by_name[name].ports
-        if self.ask(ports["caller"], "GET", "/readyz")[0] != 200:
+        if self.send_request(ports["caller"], "GET", "/readyz")[0] != 200:
             return False
         if not self.configured:
             return True
-        status, state, _ = self.ask(ports["operator"], "GET", "/v1/state")
+        status, state, _ = self.send_request(ports["operator"], "GET", "/v1/state")
         return status == 200 and state["components"]["node"]["config_version"] > 0
 
-    def ask(
+    def send_request(
         self,
         port: int,
         method: str,
@@ -184,14 +184,14 @@
             parsed = data.decode(errors="replace")
         return answer.status, parsed, {k.lower(): v for k, v in answer.getheaders()}
 
-    def describe_ends(self) -> str:
+    def log_tails(self) -> str:
         """Return the tails of all logs."""
         names = [*self.hosts_by_name, *self.upstreams_by_name]
         found = [self.hosts_by_name.get(n) or self.upstreams_by_name[n] for n in names]
-        return "\n".join(describe_end(f.process) for f in found if f.process)
+        return "\n".join(log_tail(f.process) for f in found if f.process)
 
-    def _name_of_port(self, port: int) -> str:
-        sockets = sockets_at(port)
+    def _host_at_port(self, port: int) -> str:
+        sockets = socket_names_at_port(port)
         for name, host in self.hosts_by_name.items():
             if host.process is not None and host.process.owns_socket(sockets):
                 return name
@@ -199,7 +199,7 @@
 
     def _settings(self, host: Host) -> dict[str, Any]:
         replicas = [h for h in self.hosts_by_name.values() if "control" in h.roles]
-        control = [replica.told_port for replica in replicas]
+        control = [replica.advertised_port for replica in replicas]
         changes: dict[str, Any] = {"roles": host.roles, "timings": self._timings}
         if "control" in host.roles:
             changes["data_folder"] = f"data-{host.name}"
--- a/tests/scenarios/load.py
+++ b/tests/scenarios/load.py
@@ -8,8 +8,8 @@
 
 from standins.responses import digest
 from tests.scenarios import builders
+from tests.scenarios.background import BackgroundTask
 from tests.scenarios.caller import Call
-from tests.scenarios.doing import Doing
 
 PAUSE_S = 0.05
 """Seconds between two calls of one caller."""
@@ -24,7 +24,7 @@
 STREAM_TOKENS = 40
 
 
-class Load(Doing):
+class Load(BackgroundTask):
     """Callers who send one request after the other, some at each host.
 
     Requests to an engine's path ask for streams.
@@ -59,7 +59,7 @@
                 name = f"{self._name}-{self._number}"
             body = self._body(name)
             call = Call(port, "POST", self._target, headers, body)
-            call.follow()
+            call.send_and_receive()
             self.calls.append(call)
             time.sleep(PAUSE_S)
 
--- a/tests/scenarios/operators.py
+++ b/tests/scenarios/operators.py
@@ -8,47 +8,51 @@
 from collections.abc import Callable
 from typing import Any
 
-from tests.scenarios.doing import PATIENCE_S, Doing
+from tests.scenarios.background import TASK_TIMEOUT_S, BackgroundTask
 
-Ask = Callable[..., tuple[int, Any, dict[str, str]]]
+SendRequest = Callable[..., tuple[int, Any, dict[str, str]]]
 """Deployment.ask: port, method, target, document and headers to an answer."""
 
-DECIDED = (200, 409, 422)
+DECIDED_STATUSES = (200, 409, 422)
 PAUSE_S = 0.05
 
 
-class Put:
+class ChangeRequest:
     """One change, always sent with the same id, base version and document."""
 
     def __init__(self, change_id: str, base: int, config: dict[str, Any]) -> None:
         self.change_id = change_id
         self.base = base
         self.config = config
-        self.heard: list[tuple[int, int]] = []
+        self.responses: list[tuple[int, int]] = []
 
     @property
     def headers(self) -> dict[str, str]:
         """The headers of the PUT but for the key."""
         return {"If-Match": f'"{self.base}"', "Idempotency-Key": self.change_id}
 
-    def send(self, ask: Ask, port: int) -> int:
+    def send(self, send_request: SendRequest, port: int) -> int:
         """Send it and note a decided answer; return the status, 0 for none."""
-        status, body, _ = ask(port, "PUT", "/v1/config", self.config, self.headers)
-        if status in DECIDED:
-            self.heard.append((status, body["version"] if status == 200 else 0))
+        status, body, _ = send_request(
+            port, "PUT", "/v1/config", self.config, self.headers
+        )
+        if status in DECIDED_STATUSES:
+            self.responses.append((status, body["version"] if status == 200 else 0))
         return status
 
-    def send_until_decided(self, ask: Ask, ports: list[int]) -> None:
+    def send_until_decided(self, send_request: SendRequest, ports: list[int]) -> None:
         """Send it at one port after the other."""
-        until = time.monotonic() + PATIENCE_S
+        until = time.monotonic() + TASK_TIMEOUT_S
         count = 0
-        while self.send(ask, ports[count % len(ports)]) not in DECIDED:
+        while (
+            self.send(send_request, ports[count % len(ports)]) not in DECIDED_STATUSES
+        ):
             count += 1
             if time.monotonic() > until:
                 raise TimeoutError(f"{self.change_id} is not decided")
             time.sleep(PAUSE_S)
 
-    def send_unheard(self, port: int) -> None:
+    def send_and_disconnect(self, port: int) -> None:
         """Send it and close the connection before an answer can come.
 
         A host that is killed by the next step of a scenario may refuse the connection
@@ -67,24 +71,29 @@
         connection.close()
 
     @property
-    def steady(self) -> bool:
+    def is_consistent(self) -> bool:
         """Whether it was decided, and all answers say the same."""
-        return len(set(self.heard)) == 1
+        return len(set(self.responses)) == 1
 
 
-class Burst(Doing):
+class ChangeSeries(BackgroundTask):
     """An operator who makes change after change, each adding a workspace."""
 
     def __init__(
-        self, ask: Ask, ports: list[int], name: str, count: int, pause: float
+        self,
+        send_request: SendRequest,
+        ports: list[int],
+        name: str,
+        count: int,
+        pause: float,
     ) -> None:
         super().__init__()
-        self._ask = ask
+        self._send_request = send_request
         self._ports = ports
         self._name = name
         self._count = count
         self._pause = pause
-        self.puts: list[Put] = []
+        self.puts: list[ChangeRequest] = []
         self.start([self._run])
 
     def _run(self) -> None:
@@ -97,15 +106,17 @@
             added = {"token_sha256": [token], "tier": "gold", "services": []}
             workspaces = config["workspaces"] | {name: added}
             config = config | {"workspaces": workspaces}
-            put = Put(name, version, config)
+            put = ChangeRequest(name, version, config)
             self.puts.append(put)
-            put.send_until_decided(self._ask, self._ports[number % len(self._ports) :])
-            version = put.heard[-1][1]
+            put.send_until_decided(
+                self._send_request, self._ports[number % len(self._ports) :]
+            )
+            version = put.responses[-1][1]
             time.sleep(self._pause)
 
     def _read(self) -> tuple[int, dict[str, Any]]:
         for port in self._ports:
-            status, body, _ = self._ask(port, "GET", "/v1/config")
+            status, body, _ = self._send_request(port, "GET", "/v1/config")
             if status == 200:
                 return body["version"], body["config"]
         raise TimeoutError("no host tells the configuration")
@@ -113,59 +124,70 @@
     def resend(self, ports: list[int]) -> None:
         """Send every change once more, in the order from the newest."""
         for number, put in enumerate(reversed(self.puts)):
-            put.send_until_decided(self._ask, ports[number % len(ports) :] + ports)
+            put.send_until_decided(
+                self._send_request, ports[number % len(ports) :] + ports
+            )
 
     @property
     def accepted(self) -> int:
         """How many changes were accepted."""
-        return sum(bool(put.heard) and put.heard[0][0] == 200 for put in self.puts)
+        return sum(
+            bool(put.responses) and put.responses[0][0] == 200 for put in self.puts
+        )
 
     @property
     def steady(self) -> bool:
         """Whether each change has one outcome."""
-        return all(put.steady for put in self.puts)
+        return all(put.is_consistent for put in self.puts)
 
     @property
     def consecutive(self) -> bool:
         """Whether the versions of the accepted changes leave none out."""
-        found = [put.heard[0][1] for put in self.puts if put.heard[0][0] == 200]
+        found = [put.responses[0][1] for put in self.puts if put.responses[0][0] == 200]
         return found == list(range(found[0], found[0] + len(found)))
 
     @property
     def kept(self) -> bool:
         """Whether the configuration has all accepted changes."""
-        names = {put.change_id for put in self.puts if put.heard[0][0] == 200}
+        names = {put.change_id for put in self.puts if put.responses[0][0] == 200}
         return names <= self._read()[1]["workspaces"].keys()
 
 
-class Race(Doing):
+class ConcurrentChanges(BackgroundTask):
     """Two operators with one base version.
 
     They send after so many seconds, and lose their first answers unless heard.
     """
 
     def __init__(
-        self, ask: Ask, ports: list[int], name: str, after: float, heard: bool
+        self,
+        send_request: SendRequest,
+        ports: list[int],
+        name: str,
+        after: float,
+        reads_response: bool,
     ) -> None:
         super().__init__()
         self._after = after
-        self._heard = heard
-        self._ask = ask
-        status, body, _ = ask(ports[0], "GET", "/v1/config")
+        self._reads_response = reads_response
+        self._send_request = send_request
+        status, body, _ = send_request(ports[0], "GET", "/v1/config")
         assert status == 200, f"status {status}"
         self._puts = [
-            Put(f"{name}-{port}", body["version"], self._changed(body["config"], port))
+            ChangeRequest(
+                f"{name}-{port}", body["version"], self._changed(body["config"], port)
+            )
             for port in ports
         ]
         pairs = zip(self._puts, ports, strict=True)
         self.start([lambda put=p, port=q: self._run(put, port) for p, q in pairs])
 
-    def _run(self, put: Put, port: int) -> None:
+    def _run(self, put: ChangeRequest, port: int) -> None:
         time.sleep(self._after)
-        if self._heard:
-            put.send(self._ask, port)
+        if self._reads_response:
+            put.send(self._send_request, port)
         else:
-            put.send_unheard(port)
+            put.send_and_disconnect(port)
 
     def _changed(self, config: dict[str, Any], number: int) -> dict[str, Any]:
         gold = config["tiers"]["gold"] | {"deadline_ms": number}
@@ -175,54 +197,54 @@
         """Send both changes again at each host."""
         for port in ports:
             for put in self._puts:
-                put.send_until_decided(self._ask, [port, *ports])
+                put.send_until_decided(self._send_request, [port, *ports])
 
     @property
     def winners(self) -> int:
         """How many were accepted, by any answer."""
-        return sum(any(h[0] == 200 for h in put.heard) for put in self._puts)
+        return sum(any(h[0] == 200 for h in put.responses) for put in self._puts)
 
     @property
     def conflicts(self) -> int:
         """How many heard of a conflict, by any answer."""
-        return sum(any(h[0] == 409 for h in put.heard) for put in self._puts)
+        return sum(any(h[0] == 409 for h in put.responses) for put in self._puts)
 
     @property
     def steady(self) -> bool:
         """Whether each of them always heard the same."""
-        return all(put.steady for put in self._puts)
+        return all(put.is_consistent for put in self._puts)
 
 
-class Read(Doing):
+class ConfigRead(BackgroundTask):
     """One question for the configuration, which a frozen host answers later."""
 
-    def __init__(self, ask: Ask, port: int) -> None:
+    def __init__(self, send_request: SendRequest, port: int) -> None:
         super().__init__()
-        self._ask = ask
+        self._send_request = send_request
         self._port = port
         self.status = 0
         self.version = 0
         self.start([self._run])
 
     def _run(self) -> None:
-        self.status, body, _ = self._ask(self._port, "GET", "/v1/config")
+        self.status, body, _ = self._send_request(self._port, "GET", "/v1/config")
         if self.status == 200:
             self.version = body["version"]
 
 
-class Watch(Doing):
+class VersionWatch(BackgroundTask):
     """Looks again and again at the version that a host holds."""
 
-    def __init__(self, ask: Ask, port: int) -> None:
+    def __init__(self, send_request: SendRequest, port: int) -> None:
         super().__init__()
-        self._ask = ask
+        self._send_request = send_request
         self._port = port
         self.versions: list[int] = []
         self.start([self._run])
 
     def _run(self) -> None:
         while not self.stopping:
-            _, body, _ = self._ask(self._port, "GET", "/v1/state")
+            _, body, _ = self._send_request(self._port, "GET", "/v1/state")
             if isinstance(body, dict):
                 version = body["components"]["node"]["config_version"]
                 if version > 0:
--- a/tests/scenarios/processes.py
+++ b/tests/scenarios/processes.py
@@ -86,7 +86,7 @@
         return not names.isdisjoint(found)
 
 
-def sockets_at(port: int) -> set[str]:
+def socket_names_at_port(port: int) -> set[str]:
     """Return the names of the TCP sockets of this machine with a local port."""
     # The table has thousands of lines when much else runs here, and is read for
     # each new connection of a proxy.
@@ -96,14 +96,14 @@
     return {f"socket:[{item[9]}]" for item in lines if item[1].endswith(local)}
 
 
-def describe_end(process: Process, lines: int = 30) -> str:
+def log_tail(process: Process, lines: int = 30) -> str:
     """Return the tail of a process's log, for the report of a failure."""
     text = process.log.read_text(errors="replace") if process.log.exists() else ""
     tail = "\n".join(text.splitlines()[-lines:])
     return f"--- {process.name} (exit code {process.exit_code()})\n{tail}"
 
 
-def has(document: Any, path: str) -> Any:
+def value_at(document: Any, path: str) -> Any:
     """Return what stands at a dotted path in a document, None when nothing does."""
     for part in path.split("."):
         if isinstance(document, list) and part.isdigit():
--- a/tests/scenarios/proxy.py
+++ b/tests/scenarios/proxy.py
@@ -8,8 +8,8 @@
 
 READ_BYTES = 65536
 CONNECT_TIMEOUT_S = 2.0
-PEER_TRIES = 20
-PEER_PAUSE_S = 0.05
+PEER_LOOKUP_ATTEMPTS = 20
+PEER_LOOKUP_PAUSE_S = 0.05
 """Looks for who has dialled, and seconds between two of them."""
 
 
@@ -21,10 +21,10 @@
     bytes held back go on, as TCP would send them again.
     """
 
-    def __init__(self, target_port: int, name_of_port: Callable[[int], str]) -> None:
+    def __init__(self, target_port: int, host_at_port: Callable[[int], str]) -> None:
         self._target_port = target_port
-        self._name_of_port = name_of_port
-        self._open_by_peer: dict[str, threading.Event] = {}
+        self._host_at_port = host_at_port
+        self._gates_by_peer: dict[str, threading.Event] = {}
         self._sockets: list[socket.socket] = []
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.port: int = self._listener.getsockname()[1]
@@ -43,11 +43,11 @@
             sock.close()
 
     def _gate(self, peer: str) -> threading.Event:
-        if peer not in self._open_by_peer:
+        if peer not in self._gates_by_peer:
             event = threading.Event()
             event.set()
-            self._open_by_peer[peer] = event
-        return self._open_by_peer[peer]
+            self._gates_by_peer[peer] = event
+        return self._gates_by_peer[peer]
 
     def _accept(self) -> None:
         with contextlib.suppress(OSError):
@@ -57,39 +57,42 @@
                     target=self._serve, args=(sock, address[1]), daemon=True
                 ).start()
 
-    def _serve(self, near: socket.socket, peer_port: int) -> None:
-        self._sockets.append(near)
-        peer = self._peer(peer_port)
+    def _serve(self, client_socket: socket.socket, peer_port: int) -> None:
+        self._sockets.append(client_socket)
+        peer = self._find_peer(peer_port)
         if not peer:
-            near.close()
+            client_socket.close()
             return
         gate = self._gate(peer)
         gate.wait()
         try:
-            far = socket.create_connection(
+            host_socket = socket.create_connection(
                 ("127.0.0.1", self._target_port), CONNECT_TIMEOUT_S
             )
         except OSError:
-            near.close()
+            client_socket.close()
             return
-        far.settimeout(None)
-        self._sockets.append(far)
-        for source, sink in ((near, far), (far, near)):
+        host_socket.settimeout(None)
+        self._sockets.append(host_socket)
+        for source, sink in (
+            (client_socket, host_socket),
+            (host_socket, client_socket),
+        ):
             sink.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             threading.Thread(
                 target=self._pump, args=(source, sink, gate), daemon=True
             ).start()
 
-    def _peer(self, port: int) -> str:
+    def _find_peer(self, port: int) -> str:
         """Return the host that has dialled from a port, empty when it has closed it.
 
         The kernel's list of sockets may lack one while others come and go. Passed on as
         nobody's, its connection would be open through a cut.
         """
-        for _ in range(PEER_TRIES):
-            if peer := self._name_of_port(port):
+        for _ in range(PEER_LOOKUP_ATTEMPTS):
+            if peer := self._host_at_port(port):
                 return peer
-            time.sleep(PEER_PAUSE_S)
+            time.sleep(PEER_LOOKUP_PAUSE_S)
         return ""
 
     def _pump(
--- a/tests/scenarios/repeats.py
+++ b/tests/scenarios/repeated_request.py
@@ -6,8 +6,8 @@
 
 from standins.responses import digest
 from tests.scenarios import builders
+from tests.scenarios.background import BackgroundTask
 from tests.scenarios.caller import Call
-from tests.scenarios.doing import Doing
 from tests.scenarios.processes import Process
 
 POLL_S = 0.05
@@ -20,7 +20,7 @@
 """How long after the last allowed crash hosts may not yet have heard of it."""
 
 
-class Supervisor(Doing):
+class Supervisor(BackgroundTask):
     """Starts each process again, some seconds after it has ended."""
 
     def __init__(self, processes: list[Process], after: float) -> None:
@@ -39,7 +39,7 @@
             self.restarts += 1
 
 
-class Repeats(Doing):
+class RepeatedRequest(BackgroundTask):
     """One caller who sends the same request to one host after the other."""
 
     def __init__(
--- a/tests/scenarios/runner.py
+++ b/tests/scenarios/runner.py
@@ -48,8 +48,8 @@
 from tests.scenarios.caller import Call
 from tests.scenarios.control_steps import ControlSteps
 from tests.scenarios.deployment import Deployment
-from tests.scenarios.processes import has
-from tests.scenarios.repeats import PROPAGATION_SECONDS
+from tests.scenarios.processes import value_at
+from tests.scenarios.repeated_request import PROPAGATION_SECONDS
 
 POLL_S = 0.02
 WINDOW_SECONDS = 4.0
@@ -79,7 +79,7 @@
 }
 
 
-def value_of(text: str) -> Any:
+def parse_value(text: str) -> Any:
     """Return the value that a word of a step stands for."""
     try:
         return json.loads(text)
@@ -100,7 +100,7 @@
         super().__init__()
         self._deployment = deployment
         self._calls_by_name: dict[str, Call] = {}
-        self._marked_at_by_name: dict[str, float] = {}
+        self._action_time_by_name: dict[str, float] = {}
 
     def run(self, path: Path) -> None:
         """Run a scenario file; raise AssertionError naming the line that failed."""
@@ -110,13 +110,13 @@
             if not words:
                 continue
             try:
-                self._step(self.replace(words))
+                self._run_step(self.resolve_aliases(words))
             except AssertionError as err:
-                ends = self._deployment.describe_ends()
+                ends = self._deployment.log_tails()
                 text = f"{path.name}:{number}: {line}\n{err}\n{ends}"
                 raise AssertionError(text) from None
 
-    def _step(self, words: list[str]) -> None:
+    def _run_step(self, words: list[str]) -> None:
         verb, *rest = words
         if verb in SIGNALS_BY_STEP:
             self._signal(verb, rest)
@@ -128,7 +128,7 @@
 
     def _signal(self, verb: str, names: list[str]) -> None:
         for name in names:
-            self._marked_at_by_name[name] = time.time()
+            self._action_time_by_name[name] = time.time()
             if verb == "kill":
                 self._deployment.process(name).kill()
             else:
@@ -169,8 +169,8 @@
             place = config
             for folder in folders:
                 place = place.setdefault(folder, {})
-            place[last] = value_of(text)
-        self._patiently(20.0, lambda: self._apply(host, config))
+            place[last] = parse_value(text)
+        self._retry_for(20.0, lambda: self._apply(host, config))
 
     def _apply(self, host: str, config: dict[str, Any]) -> None:
         status = self._deployment.apply(host, config)
@@ -178,9 +178,9 @@
 
     def _do_fault(self, words: list[str]) -> None:
         (name,), options = split_options(words)
-        document = {key: value_of(text) for key, text in options.items()}
+        document = {key: parse_value(text) for key, text in options.items()}
         self._deployment.set_faults(name, document)
-        self._marked_at_by_name[name] = time.time()
+        self._action_time_by_name[name] = time.time()
 
     def _do_rollout(self, words: list[str]) -> None:
         (service, _, host), options = split_options(words)
@@ -192,13 +192,13 @@
         wanted = int(options.get("status", "200"))
         port = self._deployment.hosts_by_name[host].ports["operator"]
         for name in self._deployment.upstreams_by_name:
-            self._marked_at_by_name[name] = time.time()
+            self._action_time_by_name[name] = time.time()
 
-        def ask() -> None:
-            answer = self._deployment.ask(port, "POST", "/v1/rollouts", order)
+        def order_rollout() -> None:
+            answer = self._deployment.send_request(port, "POST", "/v1/rollouts", order)
             assert answer[0] == wanted, f"status {answer[0]}: {answer[1]}"
 
-        self._patiently(5.0, ask)
+        self._retry_for(5.0, order_rollout)
 
     def _do_request(self, words: list[str]) -> None:
         (name, _, host, method, target, *flags), options = split_options(words)
@@ -235,7 +235,7 @@
 
     def _do_leave(self, names: list[str]) -> None:
         for name in names:
-            self._calls_by_name[name].go_away()
+            self._calls_by_name[name].disconnect()
 
     def _do_cut(self, words: list[str]) -> None:
         self._deployment.set_cut(words[0], words[1], True)
@@ -247,9 +247,9 @@
         time.sleep(float(words[0].removesuffix("s")))
 
     def _do_within(self, words: list[str]) -> None:
-        patience = float(words[0].removesuffix("s"))
+        timeout_s = float(words[0].removesuffix("s"))
         assert words[1] == "expect", "only an expectation can be waited for"
-        self._patiently(patience, lambda: self._do_expect(words[2:]))
+        self._retry_for(timeout_s, lambda: self._do_expect(words[2:]))
 
     def _do_at_least(self, words: list[str]) -> None:
         wanted = int(words[0])
@@ -269,8 +269,8 @@
         assert names, f"there is no {name}"
         return names
 
-    def _patiently(self, patience: float, step: Callable[[], None]) -> None:
-        until = time.monotonic() + patience
+    def _retry_for(self, timeout_s: float, step: Callable[[], None]) -> None:
+        until = time.monotonic() + timeout_s
         while True:
             try:
                 step()
@@ -286,28 +286,28 @@
             for one in self._calls_named(name):
                 self._do_expect([one, what, *rest])
             return
-        found = self._find(name, what)
+        found = self._read_value(name, what)
         if not rest:
             assert found is True, f"{name} {what} is {found!r}"
             return
         compare, text = rest
-        expected = text if compare in ("in", "has") else value_of(text)
-        expected = self.notes_by_name.get(text, expected)
+        expected = text if compare in ("in", "has") else parse_value(text)
+        expected = self.noted_values_by_name.get(text, expected)
         # A host that does not answer has not got another value than a noted one.
         if found is None and (compare not in ("==", "!=") or text.startswith("$")):
             raise AssertionError(f"{name} {what} is not there")
         assert COMPARE[compare](found, expected), f"{name} {what} is {found!r}"
 
-    def _find(self, name: str, what: str) -> Any:
+    def _read_value(self, name: str, what: str) -> Any:
         if name in self._calls_by_name:
-            return self._find_of_call(self._calls_by_name[name], what)
-        if name in self.doings_by_name:
-            return self.doings_by_name[name].find(what)
+            return self._read_call(self._calls_by_name[name], what)
+        if name in self.tasks_by_name:
+            return self.tasks_by_name[name].read_value(what)
         if name in self._deployment.hosts_by_name:
-            return self._find_of_host(name, what)
-        return self._find_of_upstream(name, what)
+            return self._read_host(name, what)
+        return self._read_upstream(name, what)
 
-    def _find_of_call(self, call: Call, what: str) -> Any:
+    def _read_call(self, call: Call, what: str) -> Any:
         runs = [r for r in self._deployment.records("run") if is_run_of(r, call)]
         if what == "runs":
             return len(runs)
@@ -322,31 +322,31 @@
             return sum(record["request_id"] in ids for record in records)
         return getattr(call, what)
 
-    def _find_of_host(self, name: str, what: str) -> Any:
+    def _read_host(self, name: str, what: str) -> Any:
         host = self._deployment.hosts_by_name[name]
-        ask = self._deployment.ask
+        send_request = self._deployment.send_request
         if what == "exit":
             return self._deployment.process(name).exit_code()
         if what == "alive":
-            return ask(host.ports["caller"], "GET", "/healthz")[0] == 200
+            return send_request(host.ports["caller"], "GET", "/healthz")[0] == 200
         if what == "ready":
             return self._deployment.is_ready(name)
         if what == "version":
-            document = ask(host.ports["operator"], "GET", "/v1/config")[1]
-            return has(document, "version")
+            document = send_request(host.ports["operator"], "GET", "/v1/config")[1]
+            return value_at(document, "version")
         if what == "log":
             return self._deployment.process(name).log.read_text(errors="replace")
         if what.startswith("rollout."):
-            document = ask(host.ports["operator"], "GET", "/v1/rollouts")[1]
+            document = send_request(host.ports["operator"], "GET", "/v1/rollouts")[1]
             path = what.replace("rollout.", "rollouts_by_service.", 1)
-            return has(document, path)
+            return value_at(document, path)
         if what.startswith("control."):
-            return self._find_of_control(name, what.removeprefix("control."))
+            return self._read_control(name, what.removeprefix("control."))
         assert what.startswith("state."), f"a host has no {what}"
-        document = ask(host.ports["operator"], "GET", "/v1/state")[1]
-        return has(document, what.removeprefix("state."))
+        document = send_request(host.ports["operator"], "GET", "/v1/state")[1]
+        return value_at(document, what.removeprefix("state."))
 
-    def _find_of_upstream(self, name: str, what: str) -> Any:
+    def _read_upstream(self, name: str, what: str) -> Any:
         if what == "exit":
             return self._deployment.process(name).exit_code()
         if what == "accepted":
@@ -356,18 +356,18 @@
             orders = self._deployment.records("order")
             return sum(record["upstream"] == name for record in orders)
         marked = what in ("new_runs", "late_runs")
-        since = self._marked_at_by_name.get(name, 0.0) if marked else 0.0
+        since = self._action_time_by_name.get(name, 0.0) if marked else 0.0
         since += ROLLBACK_SECONDS if what == "late_runs" else 0.0
         runs = self._deployment.records("run")
         if what == "most_runs":
-            since = self._marked_at_by_name[name] + PROPAGATION_SECONDS
-            return most_in_window(
+            since = self._action_time_by_name[name] + PROPAGATION_SECONDS
+            return max_in_window(
                 [r["time"] for r in runs if r["upstream"] == name and r["time"] > since]
             )
         return sum(r["upstream"] == name and r["time"] >= since for r in runs)
 
 
-def most_in_window(times: list[float]) -> int:
+def max_in_window(times: list[float]) -> int:
     """Return how many of some points in time lie in one window at most."""
     times = sorted(times)
     begins = (bisect_left(times, end - WINDOW_SECONDS) for end in times)
--- a/tests/scenarios/test_bad_input.py
+++ b/tests/scenarios/test_bad_input.py
@@ -49,7 +49,7 @@
         yield started
 
 
-def exchange(port: int, data: bytes, close: bool = True) -> bytes:
+def send_bytes(port: int, data: bytes, close: bool = True) -> bytes:
     """Send bytes and return all that comes back until the host closes."""
     answer = b""
     with socket.create_connection(("127.0.0.1", port)) as sock:
@@ -69,15 +69,17 @@
     return [int(line.split()[1]) for line in lines]
 
 
-def check_lives(deployment: Deployment) -> None:
+def check_still_serving(deployment: Deployment) -> None:
     """Check that the process lives and the next good requests work."""
     host: Host = deployment.hosts_by_name["a"]
     assert deployment.process("a").exit_code() is None
     headers = {"Authorization": "Bearer token-foresters"}
     good = Call(host.ports["caller"], "POST", "/bonds", headers, b"{}")
-    good.follow()
+    good.send_and_receive()
     assert good.whole, (good.status, good.answer)
-    assert deployment.ask(host.ports["operator"], "GET", "/v1/config")[0] == 200
+    assert (
+        deployment.send_request(host.ports["operator"], "GET", "/v1/config")[0] == 200
+    )
 
 
 BYTES = st.binary(max_size=400)
@@ -131,11 +133,11 @@
     @FUZZ
     @given(st.one_of(BYTES, LINES, LINES.map(lambda lines: lines + b"\r\n\r\n")))
     def check(data: bytes) -> None:
-        found = statuses(exchange(port, data))
+        found = statuses(send_bytes(port, data))
         assert all(status < 500 or status == 503 for status in found), found
 
     check()
-    check_lives(deployment)
+    check_still_serving(deployment)
 
 
 def test_random_bytes_and_truncated_frames_inside(deployment: Deployment) -> None:
@@ -152,10 +154,10 @@
     @FUZZ
     @given(st.one_of(BYTES, framed, whole))
     def check(data: bytes) -> None:
-        exchange(port, data)
+        send_bytes(port, data)
 
     check()
-    check_lives(deployment)
+    check_still_serving(deployment)
 
 
 @pytest.mark.parametrize(
@@ -175,7 +177,7 @@
     port = deployment.hosts_by_name["a"].ports[kind]
     line = b"Authorization: " + key + b"\r\n" if key else b""
     head = target + b" HTTP/1.1\r\nHost: a\r\nConnection: close\r\n" + line
-    answer = exchange(port, head + b"Content-Length: 2\r\n\r\n{}", close=False)
+    answer = send_bytes(port, head + b"Content-Length: 2\r\n\r\n{}", close=False)
     assert statuses(answer) == [401], answer
 
 
@@ -184,23 +186,23 @@
     port = deployment.hosts_by_name["a"].ports["caller"]
     head = b"POST /bonds HTTP/1.1\r\nHost: a\r\n" + TOKEN
     long_head = head + b"X: " + b"x" * 100_000 + b"\r\n\r\n"
-    assert statuses(exchange(port, long_head, close=False)) == [431]
+    assert statuses(send_bytes(port, long_head, close=False)) == [431]
     long_body = head + b"Content-Length: 1000000000\r\n\r\n"
-    assert statuses(exchange(port, long_body, close=False)) == [413]
+    assert statuses(send_bytes(port, long_body, close=False)) == [413]
     chunk = b"100000\r\n" + b"x" * 0x100000 + b"\r\n"
     chunked = head + b"Transfer-Encoding: chunked\r\n\r\n" + 9 * chunk
-    assert statuses(exchange(port, chunked, close=False))[:1] in ([413], [])
-    check_lives(deployment)
+    assert statuses(send_bytes(port, chunked, close=False))[:1] in ([413], [])
+    check_still_serving(deployment)
 
 
 def test_slow_head_and_body(deployment: Deployment) -> None:
     """A caller that never ends its head or body is told 408 and let go."""
     port = deployment.hosts_by_name["a"].ports["caller"]
     head = b"POST /bonds HTTP/1.1\r\nHost: a\r\n" + TOKEN
-    assert statuses(exchange(port, head, close=False)) == [408]
+    assert statuses(send_bytes(port, head, close=False)) == [408]
     slow_body = head + b"Content-Length: 10\r\n\r\n{"
-    assert statuses(exchange(port, slow_body, close=False)) == [408]
-    check_lives(deployment)
+    assert statuses(send_bytes(port, slow_body, close=False)) == [408]
+    check_still_serving(deployment)
 
 
 @FUZZ
--- a/tests/scenarios/test_proxy.py
+++ b/tests/scenarios/test_proxy.py
@@ -22,7 +22,7 @@
     The search for who has dialled misses the socket once, beside load. The connection
     counts as nobody's, and nobody is cut.
     """
-    monkeypatch.setattr(proxy, "PEER_PAUSE_S", 0.001)
+    monkeypatch.setattr(proxy, "PEER_LOOKUP_PAUSE_S", 0.001)
     looks = iter(range(10_000))
     target = socket.create_server(("127.0.0.1", 0))
     target.settimeout(0.3)
