--- a/tests/components/entry/test_quota.py
+++ b/tests/components/entry/test_quota.py
@@ -61,7 +61,7 @@
 
 
 def test_new_ledger_admits_only_the_share_of_the_hosts_that_report_to_it():
-    """A workspace gets a second window from a new counting host that half of the hosts use.
+    """A workspace gets a second window from a counting host that half of the hosts use.
 
     Those hosts have used little; the others have used up the quota.
     """
