--- a/bitterntiller/components/entry/attempt.py
+++ b/bitterntiller/components/entry/attempt.py
@@ -184,7 +184,7 @@
         if finding is not ResponseClass.FOREIGN:
             await async_report_rate_limit(self._context, active, grant, now)
         if self._context.response_times is not None and finding is ResponseClass.ANSWER:
-            self._context.response_times.note(active.pool, now - active.sent_at)
+            self._context.response_times.record(active.pool, now - active.sent_at)
         if finding is ResponseClass.NOT_RUN:
             await _async_drain_response(client)
             return Retry(grant.upstream, NOT_ADMITTED)
--- a/bitterntiller/components/entry/coordinator.py
+++ b/bitterntiller/components/entry/coordinator.py
@@ -22,7 +22,7 @@
 from bitterntiller.core.interfaces import Ownership
 from bitterntiller.protocol import messages
 
-BODY_INCOMPLETE = "one whose body is still coming"
+BODY_INCOMPLETE = "a request with an incomplete body"
 
 
 class EntryCoordinator:
--- a/bitterntiller/components/entry/ended_requests.py
+++ b/bitterntiller/components/entry/ended_requests.py
@@ -50,7 +50,7 @@
         self._endings: deque[EndedRequest] = deque()
         self._acknowledged = AcknowledgedPositions()
 
-    def note(self, request_id: str, now: float) -> None:
+    def add(self, request_id: str, now: float) -> None:
         """Record the end of a request."""
         self._number += 1
         self._endings.append(EndedRequest(self._number, now, request_id))
@@ -86,6 +86,6 @@
             and ending.request_id not in live
         ]
 
-    def note_acknowledged(self, owner: str, ends: UnacknowledgedEnds) -> None:
+    def record_acknowledged(self, owner: str, ends: UnacknowledgedEnds) -> None:
         """Record that an owner has acknowledged a report with these ends."""
         self._acknowledged.note(owner, ends.upto)
--- a/bitterntiller/components/entry/limit_reports.py
+++ b/bitterntiller/components/entry/limit_reports.py
@@ -21,7 +21,7 @@
     if limit is None and not grant.rate_limited:
         return
     reported = ReportedLimit(grant.pool, grant.upstream, grant.incarnation, limit, now)
-    context.rate_limits.note(reported)
+    context.rate_limits.store(reported)
     owner = context.directory.owner(grant.pool)
     addresses = {grant.sender, owner.address if owner is not None else ""}
     message = limit_message(reported, context.clock.now())
--- a/bitterntiller/components/entry/owner_monitor.py
+++ b/bitterntiller/components/entry/owner_monitor.py
@@ -159,9 +159,9 @@
             self._suspect(owner, "it has no configuration or lease")
             return
         if process == f"{owner.host}/{reply.incarnation}":
-            self._registry.ended_requests.note_acknowledged(process, ended)
+            self._registry.ended_requests.record_acknowledged(process, ended)
             if counting:
-                self._account.note_acknowledged(process, quota_report)
+                self._account.record_acknowledged(process, quota_report)
                 self._account.update_levels(reply.levels)
         if self._owners.record_answer(owner.host, reply.incarnation):
             # The owner's process is new, so report everything to it again now.
--- a/bitterntiller/components/entry/pipeline.py
+++ b/bitterntiller/components/entry/pipeline.py
@@ -103,7 +103,7 @@
                 await self._async_refuse(exchange, body, identified, request_id)
                 return
             size = self._budget.shrink(size, len(body))
-            await self._async_admit(exchange, identified, body)
+            await self._async_admit_and_run(exchange, identified, body)
         finally:
             self._budget.release(identified, size)
 
@@ -117,7 +117,7 @@
             reason = _REASON_BY_STATUS.get(error.status, Reason.BAD_REQUEST)
             return Ending(Outcome.NOT_RUN, reason, error.status, detail=error.text)
 
-    async def _async_admit(
+    async def _async_admit_and_run(
         self, exchange: Exchange, identified: IdentifiedRequest, body: bytes
     ) -> None:
         work = self._context.dialect.estimate(identified, body)
--- a/bitterntiller/components/entry/quota.py
+++ b/bitterntiller/components/entry/quota.py
@@ -65,7 +65,7 @@
     settled: list[int]
 
 
-class QuotaLevel(NamedTuple):
+class KnownQuotaLevel(NamedTuple):
     """The quota left to all hosts at the time at, and the part lent to this host.
 
     left is the unused amount of the window, and paced the content of the quota's token
@@ -101,7 +101,7 @@
     def __init__(self, clock: Clock, window: QuotaWindow) -> None:
         self._clock = clock
         self._window = window
-        self._level_by_workspace: dict[str, QuotaLevel] = {}
+        self._level_by_workspace: dict[str, KnownQuotaLevel] = {}
         self._change = 0
         self._number = random.getrandbits(RESERVATION_NUMBER_BITS)
         self._sent_by_workspace: dict[str, deque[_SentUsage]] = {}
@@ -148,7 +148,7 @@
             return True
         return level.left - amount >= -REPEAT_PART * self._window_limit(quota)
 
-    def level(self, workspace: str) -> QuotaLevel | None:
+    def level(self, workspace: str) -> KnownQuotaLevel | None:
         """Return the last known level of a workspace's quota."""
         return self._level_by_workspace.get(workspace)
 
@@ -238,7 +238,7 @@
             for slice_, amount in amount_by_slice.items()
         ]
 
-    def note_acknowledged(self, ledger: str, report: UnacknowledgedUse) -> None:
+    def record_acknowledged(self, ledger: str, report: UnacknowledgedUse) -> None:
         """Record that a ledger has acknowledged a report.
 
         After a lost reply the usage is reported and counted again, which refuses
@@ -251,14 +251,14 @@
         known = self._level_by_workspace.get(workspace)
         lent = 0.0 if known is None else known.lent
         now = self._clock.now()
-        self._level_by_workspace[workspace] = QuotaLevel(left, paced, lent, now)
+        self._level_by_workspace[workspace] = KnownQuotaLevel(left, paced, lent, now)
 
     def update_levels(self, levels: list[Any]) -> None:
         """Update the levels and the lent quota from the reply to a report."""
         now = self._clock.now()
         for item in levels:
             paced = item.amount if item.paced is None else item.paced
-            level = QuotaLevel(item.amount, paced, item.lent or 0, now)
+            level = KnownQuotaLevel(item.amount, paced, item.lent or 0, now)
             self._level_by_workspace[item.workspace] = level
 
     def _expire(self, name: str) -> None:
--- a/bitterntiller/components/entry/rate_limits.py
+++ b/bitterntiller/components/entry/rate_limits.py
@@ -42,7 +42,7 @@
         self._by_upstream: dict[str, ReportedLimit] = {}
         self._owner_by_pool: dict[str, Ownership] = {}
 
-    def note(self, reported: ReportedLimit) -> None:
+    def store(self, reported: ReportedLimit) -> None:
         """Store the limit of a response, and drop old ones."""
         self._by_upstream.pop(reported.upstream, None)
         self._by_upstream[reported.upstream] = reported
--- a/bitterntiller/components/entry/registry.py
+++ b/bitterntiller/components/entry/registry.py
@@ -52,7 +52,7 @@
         """Remove a request that has ended, and record its end for reports to owners."""
         active.phase = Phase.ENDED
         self.by_id.pop(active.request_id, None)
-        self.ended_requests.note(active.request_id, self._context.clock.now())
+        self.ended_requests.add(active.request_id, self._context.clock.now())
 
     def pools(self) -> set[str]:
         """Return the pools with live requests on this host."""
--- a/bitterntiller/components/entry/relay.py
+++ b/bitterntiller/components/entry/relay.py
@@ -106,7 +106,7 @@
                     return await self._async_relay_oversized(client, head, parts)
         except BrokenAnswerError:
             return Retry(self._active.upstream, LOST_RESPONSE, ran=True)
-        self._note_first_byte()
+        self._record_first_byte()
         headers = self._context.dialect.response_headers(self._active, head)
         headers = [item for item in headers if item[0] != b"content-length"]
         await self._exchange.async_respond(head.status, headers, b"".join(parts))
@@ -117,13 +117,13 @@
     ) -> RelayResult:
         headers = self._context.dialect.response_headers(self._active, head)
         await self._exchange.async_start(head.status, headers)
-        self._note_first_byte()
+        self._record_first_byte()
         await self._exchange.async_send(b"".join(parts))
         whole = await self._async_relay_body(client)
         await self._async_end(whole)
         return RelayResult(whole, head.status)
 
-    def _note_first_byte(self) -> None:
+    def _record_first_byte(self) -> None:
         if self._active.first_byte_at is None:
             self._active.first_byte_at = self._context.clock.now()
 
@@ -133,7 +133,7 @@
                 data = await client.async_data()
                 if data is None:
                     return True
-                self._note_first_byte()
+                self._record_first_byte()
                 await self._exchange.async_send(data)
         except BrokenAnswerError:
             return False
@@ -209,7 +209,7 @@
                     return stream.is_complete_at_eof()
                 events = stream.feed(data)
                 if events.data:
-                    self._note_first_byte()
+                    self._record_first_byte()
                     self._active.output_tokens += events.count
                     await self._exchange.async_send(events.data)
         except (BrokenAnswerError, BrokenStreamError):
--- a/bitterntiller/components/entry/response_times.py
+++ b/bitterntiller/components/entry/response_times.py
@@ -24,7 +24,7 @@
         self.mean = 0.0
         self.deviation = 0.0
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         value = math.log(max(seconds, MIN_SECONDS))
         self.count += 1
         gain = max(1 / self.count, SMOOTHING)
@@ -38,9 +38,9 @@
     def __init__(self) -> None:
         self._times_by_service: dict[str, _Times] = {}
 
-    def note(self, service: str, seconds: float) -> None:
+    def record(self, service: str, seconds: float) -> None:
         """Record the response time of a service in seconds."""
-        self._times_by_service.setdefault(service, _Times()).note(seconds)
+        self._times_by_service.setdefault(service, _Times()).record(seconds)
 
     def p95_estimate(self, service: str) -> float | None:
         """Return an estimate of the 95th percentile in seconds, None if unknown."""
--- a/bitterntiller/components/entry/sse.py
+++ b/bitterntiller/components/entry/sse.py
@@ -70,7 +70,7 @@
             return Events(b"", 0)
         self._partial = text[end:]
         whole = text[:end]
-        return Events(whole, self._note(whole))
+        return Events(whole, self._track(whole))
 
     def begin_resume(self) -> None:
         """Drop an incomplete event and require the next event id of the stream."""
@@ -81,7 +81,7 @@
         """Return whether the stream is complete if its response ends here."""
         return self.ended or (self._ends_with_response and not self._partial)
 
-    def _note(self, whole: bytes) -> int:
+    def _track(self, whole: bytes) -> int:
         events = _split(whole)
         if self._check_next:
             self._check(events)
@@ -94,7 +94,7 @@
                 self.last_id = number
                 break
         if _USAGE in whole:
-            self._note_usage(events)
+            self._record_usage(events)
         self._forwarded = True
         return len(events)
 
@@ -117,7 +117,7 @@
         if self.last_id and not any(map(_is_end, events)):
             raise BrokenStreamError("resumed stream has no event ids")
 
-    def _note_usage(self, events: list[bytes]) -> None:
+    def _record_usage(self, events: list[bytes]) -> None:
         for event in events:
             if _USAGE not in event:
                 continue
--- a/tests/components/entry/quota_hosts.py
+++ b/tests/components/entry/quota_hosts.py
@@ -140,16 +140,16 @@
         name = self.counter_by_host[host]
         counter, account = self.counter_by_name[name], self.accounts[host]
         now = self.clock.now()
-        told = account.unacknowledged(name)
-        for used in told.used:
+        report = account.unacknowledged(name)
+        for used in report.used:
             counter.ledger.record_usage(used.workspace, used.amount, used.age, now)
-        counter.ledger.set_held(str(host), told.held_by_workspace)
-        counter.settle(str(host), told.settled, now)
+        counter.ledger.set_held(str(host), report.held_by_workspace)
+        counter.settle(str(host), report.settled, now)
         hosts = Counter(self.counter_by_host.values())[name]
         lent = counter.lend(
-            str(host), list(told.held_by_workspace), hosts, self.basis(name), now
+            str(host), list(report.held_by_workspace), hosts, self.basis(name), now
         )
-        account.note_acknowledged(name, told)
+        account.record_acknowledged(name, report)
         account.update_levels([_level(*item) for item in lent.items()])
 
     def forget(self, host: int) -> None:
@@ -157,8 +157,8 @@
         self.counter.forget_host(str(host), self.clock.now())
 
 
-def _level(name: str, told: tuple[QuotaState, int]) -> Any:
-    state, lent = told
+def _level(name: str, state_and_lent: tuple[QuotaState, int]) -> Any:
+    state, lent = state_and_lent
     return messages.QuotaLevel(
         workspace=name, amount=int(state.remaining), paced=int(state.level), lent=lent
     )
@@ -167,7 +167,7 @@
 class RequestCounts(NamedTuple):
     """Numbers of requests of one size: asked for, and admitted."""
 
-    asked: int
+    requested: int
     admitted: int
 
 
@@ -187,7 +187,7 @@
     def admitted_fraction(self, size: int) -> float:
         """Return the fraction of the requests of a size that were admitted."""
         tries = self.counts_by_size[size]
-        return tries.admitted / max(1, tries.asked)
+        return tries.admitted / max(1, tries.requested)
 
 
 class Request(NamedTuple):
@@ -218,13 +218,13 @@
         self._numbers = itertools.count(1)
         self._retries: list[tuple[float, int, Request]] = []
         self._waiting_by_reservation: dict[int, Request] = {}
-        self._asked: Counter[int] = Counter()
+        self._requested: Counter[int] = Counter()
         self._admitted: Counter[int] = Counter()
         self._sent: list[int] = []
         self._refused = 0
         self._failed_retries = 0
 
-    def play(self, steps: int, warm_steps: int) -> LoadResult:
+    def simulate(self, steps: int, warm_steps: int) -> LoadResult:
         """Simulate some steps; requests of the first warm_steps aren't counted."""
         shared = self._shared
         for step in range(steps):
@@ -240,7 +240,7 @@
                 self._send(heapq.heappop(self._retries)[2])
             for size in self._next_sizes():
                 if step >= warm_steps:
-                    self._asked[size] += 1
+                    self._requested[size] += 1
                 number = next(self._numbers)
                 self._send(Request(size, number if step >= warm_steps else -number))
         return self._result()
@@ -284,7 +284,7 @@
         quota = shared.owner.quota
         limit = shared.window.limit(quota.rate, quota.burst)
         tries = {
-            size: RequestCounts(self._asked[size], self._admitted[size])
-            for size in self._asked
+            size: RequestCounts(self._requested[size], self._admitted[size])
+            for size in self._requested
         }
         return LoadResult(tries, most / limit, self._refused, self._failed_retries)
--- a/tests/components/entry/test_ended_requests.py
+++ b/tests/components/entry/test_ended_requests.py
@@ -106,8 +106,8 @@
         await owner.async_on_announce("e", build.announce("e1", 1))
         await owner.async_on_register("bole-1", build.register("lost"))
         await owner.async_on_register("yeka-1", build.register("waits", "yeka-1"))
-        told = messages.EndedRequests(entry_host="bole-1", request_ids=["lost"])
-        await owner.async_on_ended("bole-1", told)
+        ended = messages.EndedRequests(entry_host="bole-1", request_ids=["lost"])
+        await owner.async_on_ended("bole-1", ended)
         await curio.sleep(0.05)
 
     curio.run(async_main)
@@ -121,12 +121,12 @@
 
 def test_end_is_repeated_until_a_report_is_acknowledged():
     log = EndedRequestLog()
-    log.note("r1", NOW)
+    log.add("r1", NOW)
     assert log.unacknowledged(OWNER, (), NOW).request_ids == []
     first = log.unacknowledged(OWNER, (), LATER)
     assert first.request_ids == ["r1"]
     assert log.unacknowledged(OWNER, (), LATER) == first
-    log.note_acknowledged(OWNER, first)
+    log.record_acknowledged(OWNER, first)
     assert log.unacknowledged(OWNER, (), LATER).request_ids == []
     assert log.unacknowledged("core-1/i2", (), LATER).request_ids == ["r1"]
 
@@ -134,13 +134,13 @@
 def test_request_with_a_reused_id_is_not_reported_as_ended():
     """A caller reuses a request id, and the owner drops the second request."""
     log = EndedRequestLog()
-    log.note("r1", NOW)
+    log.add("r1", NOW)
     assert log.unacknowledged(OWNER, {"r1"}, LATER).request_ids == []
 
 
 def test_ends_are_kept_for_a_bounded_time():
     log = EndedRequestLog()
     for number in range(1000):
-        log.note(f"r{number}", NOW + 0.1 * number)
-    told = log.unacknowledged(OWNER, (), NOW + 100.0)
-    assert 100 <= len(told.request_ids) <= 125
+        log.add(f"r{number}", NOW + 0.1 * number)
+    ended = log.unacknowledged(OWNER, (), NOW + 100.0)
+    assert 100 <= len(ended.request_ids) <= 125
--- a/tests/components/entry/test_limit_reports.py
+++ b/tests/components/entry/test_limit_reports.py
@@ -70,10 +70,10 @@
 
 def test_newest_limit_of_each_upstream_is_kept_for_a_new_owner():
     cache = RateLimitCache()
-    cache.note(ReportedLimit("llm", "e1", "1", 2.0, 1000.0))
-    cache.note(ReportedLimit("llm", "e2", "1", 3.0, 1001.0))
-    cache.note(ReportedLimit("llm", "e1", "1", None, 1002.0))
-    cache.note(ReportedLimit("registry", "p1", "1", 3.0, 1003.0))
+    cache.store(ReportedLimit("llm", "e1", "1", 2.0, 1000.0))
+    cache.store(ReportedLimit("llm", "e2", "1", 3.0, 1001.0))
+    cache.store(ReportedLimit("llm", "e1", "1", None, 1002.0))
+    cache.store(ReportedLimit("registry", "p1", "1", 3.0, 1003.0))
     kept = {item.upstream: item.limit for item in cache.for_pool("llm", 1004.0)}
     assert kept == {"e1": None, "e2": 3.0}
     assert not cache.for_pool("llm", 1100.0)
@@ -83,7 +83,7 @@
     async def async_main() -> list[Any]:
         async with deployment.entry_host(deployment.async_whole) as host:
             now = host.context.clock.now()
-            host.context.rate_limits.note(ReportedLimit("llm", "e1", "1", 0.5, now))
+            host.context.rate_limits.store(ReportedLimit("llm", "e1", "1", 0.5, now))
             for _ in range(2):
                 sock = await curio.open_connection("127.0.0.1", host.port)
                 async with sock:
@@ -101,7 +101,7 @@
 def test_number_of_stored_limits_is_bounded():
     cache = RateLimitCache(most=3)
     for number in range(10):
-        cache.note(ReportedLimit("llm", f"e{number}", "1", 2.0, 1000.0))
+        cache.store(ReportedLimit("llm", f"e{number}", "1", 2.0, 1000.0))
     assert [item.upstream for item in cache.for_pool("llm", 1000.0)] == [
         "e7",
         "e8",
--- a/tests/components/entry/test_quota.py
+++ b/tests/components/entry/test_quota.py
@@ -143,8 +143,8 @@
     for _ in range(80):
         shared.clock.advance(0.1)
         for host in range(HOSTS):
-            asked = [shared.ask(host, 50) for _ in range(4)]
-            held += 50 * sum(isinstance(found, QuotaHold) for found in asked)
+            found_holds = [shared.ask(host, 50) for _ in range(4)]
+            held += 50 * sum(isinstance(found, QuotaHold) for found in found_holds)
         shared.report()
     assert 0.9 * LIMIT <= held <= LIMIT
 
--- a/tests/components/entry/test_quota_client.py
+++ b/tests/components/entry/test_quota_client.py
@@ -56,9 +56,9 @@
 
     def settle(self, host: str = FIRST) -> None:
         """Send the settled reservations to a counting host, as a report does."""
-        told = self.account.unacknowledged(f"{host}/i-{host}")
+        report = self.account.unacknowledged(f"{host}/i-{host}")
         counter = self.links.host_by_name[host].counter
-        counter.settle("bole-1", told.settled, self.clock.now())
+        counter.settle("bole-1", report.settled, self.clock.now())
 
 
 def run(
--- a/tests/components/entry/test_quota_sizes.py
+++ b/tests/components/entry/test_quota_sizes.py
@@ -41,24 +41,26 @@
 within 0.97 of what it allows, and the amount that repeats may add is left over."""
 
 
-def play(rate: float, burst: float, hosts: int, asked: float, seed: int) -> LoadResult:
+def simulate(
+    rate: float, burst: float, hosts: int, demand: float, seed: int
+) -> LoadResult:
     """Simulate demand of a multiple of a quota, as small and large requests."""
     rng = random.Random(seed)
     shared = QuotaHosts(workspace(rate, burst), WINDOW, hosts)
     mean = LARGE_PART * LARGE + (1 - LARGE_PART) * SMALL
-    arrivals = asked * rate / mean * QuotaLoad.STEP
+    arrivals = demand * rate / mean * QuotaLoad.STEP
 
     def next_sizes() -> list[int]:
         count = int(arrivals) + (rng.random() < arrivals % 1)
         return [LARGE if rng.random() < LARGE_PART else SMALL for _ in range(count)]
 
     load = QuotaLoad(shared, next_sizes, lambda: rng.randrange(hosts))
-    return load.play(int(SECONDS / load.STEP), int(WARM_SECONDS / load.STEP))
+    return load.simulate(int(SECONDS / load.STEP), int(WARM_SECONDS / load.STEP))
 
 
-@pytest.mark.parametrize(("rate", "hosts", "asked"), LOADS)
+@pytest.mark.parametrize(("rate", "hosts", "demand"), LOADS)
 def test_large_requests_of_a_workspace_over_its_quota_are_served_like_small_ones(
-    rate, hosts, asked
+    rate, hosts, demand
 ):
     """Hardly any large request of a workspace is served, but most of the small ones.
 
@@ -67,12 +69,12 @@
     refusals in one such day, 1,543 came while some quota was left, but less than asked
     for; this only affects large requests.
     """
-    plays = [play(rate, rate, hosts, asked, seed) for seed in range(SEEDS)]
-    small = sum(played.admitted_fraction(SMALL) for played in plays) / len(plays)
-    large = sum(played.admitted_fraction(LARGE) for played in plays) / len(plays)
+    results = [simulate(rate, rate, hosts, demand, seed) for seed in range(SEEDS)]
+    small = sum(result.admitted_fraction(SMALL) for result in results) / len(results)
+    large = sum(result.admitted_fraction(LARGE) for result in results) / len(results)
     assert 0.9 <= large / small <= 1 / 0.9
-    assert max(played.max_window_fraction for played in plays) <= SPARE
-    assert small >= 0.85 * min(1.0, 1 / asked)
+    assert max(result.max_window_fraction for result in results) <= SPARE
+    assert small >= 0.85 * min(1.0, 1 / demand)
 
 
 @pytest.mark.parametrize(("rate", "hosts"), DEPLOYMENTS)
@@ -84,21 +86,21 @@
     refused in a day with 200 hosts, 9 exceeded a limit.
     """
     for seed in range(2):
-        played = play(rate, rate, hosts, 0.5, seed)
-        assert played.refused == 0
+        result = simulate(rate, rate, hosts, 0.5, seed)
+        assert result.refused == 0
 
 
 @pytest.mark.parametrize(
-    ("rate", "hosts", "asked"),
+    ("rate", "hosts", "demand"),
     [(10_000.0, 9, 6.0), (70_000.0, 200, 2.0), (70_000.0, 200, 6.0)],
 )
-def test_retry_at_its_reserved_time_is_admitted(rate, hosts, asked):
+def test_retry_at_its_reserved_time_is_admitted(rate, hosts, demand):
     """A caller retries at the given time, is refused again, and gives up.
 
     Other requests used the quota meanwhile: new ones, and too many retries that were
     given the same time.
     """
     for seed in range(3):
-        played = play(rate, rate, hosts, asked, seed)
-        assert played.refused > 30
-        assert played.failed_retries == 0
+        result = simulate(rate, rate, hosts, demand, seed)
+        assert result.refused > 30
+        assert result.failed_retries == 0
--- a/tests/components/entry/test_response_times.py
+++ b/tests/components/entry/test_response_times.py
@@ -11,7 +11,7 @@
     rng = random.Random(1)
     times = ResponseTimes()
     for _ in range(answers):
-        times.note("portal", median * rng.lognormvariate(0.0, spread))
+        times.record("portal", median * rng.lognormvariate(0.0, spread))
     return times
 
 
@@ -32,5 +32,5 @@
     """A service that slows down under load gets each request twice and slows more."""
     times = observed_times(0.07, 0.6)
     for _ in range(100):
-        times.note("portal", 0.9)
+        times.record("portal", 0.9)
     assert times.attempt_timeout("portal", OBJECTIVE) > 0.8
