--- a/bench/control_parts.py
+++ b/bench/control_parts.py
@@ -55,7 +55,7 @@
     def leader(self) -> str:
         return "10.0.0.1:7000"
 
-    async def async_leader_known(self, timeout: float) -> None:
+    async def async_wait_for_leader(self, timeout: float) -> None:
         return
 
     def status(self) -> Mapping[str, Any]:
--- a/bitterntiller/cli/operator_client.py
+++ b/bitterntiller/cli/operator_client.py
@@ -38,7 +38,7 @@
         """Call one port.
 
         Raise ConnectRefusedError when nothing can have been sent, and
-        BrokenAnswerError when the request may have been carried out though no
+        IncompleteResponseError when the request may have been carried out though no
         whole answer came.
         """
         lines = [
--- a/bitterntiller/components/control/coordinator.py
+++ b/bitterntiller/components/control/coordinator.py
@@ -100,14 +100,16 @@
         for cls, handler in handlers.items():
             self._runtime.stack.callback(self._runtime.links.handle(cls, handler))
 
-    async def async_hand_over(self) -> None:
+    async def async_transfer_leadership(self) -> None:
         """Transfer leadership to another host before this one stops.
 
         Wait no longer than an election without a transfer would take.
         """
         if not self._log.is_leader():
             return
-        transferred = await self._log.async_hand_over(self._timings.election_min)
+        transferred = await self._log.async_transfer_leadership(
+            self._timings.election_min
+        )
         logging.info(
             "leadership transfer of control %s",
             "completed" if transferred else "failed",
@@ -144,7 +146,7 @@
     async def async_heartbeat(self, sender: str, heartbeat: Any) -> Any:
         """Reply to a messages.Heartbeat, with a lease once leadership is confirmed."""
         if not self._log.leader():
-            await self._log.async_leader_known(LEADER_WAIT)
+            await self._log.async_wait_for_leader(LEADER_WAIT)
         term = self.leader_term()
         if term is None:
             return self._reject_heartbeat(STATUS_NOT_LEADER)
--- a/bitterntiller/components/crashes/coordinator.py
+++ b/bitterntiller/components/crashes/coordinator.py
@@ -70,7 +70,7 @@
         """Return the seconds for which a request may not be sent, 0 if it may."""
         return self.history.quarantined_for(fingerprint, now)
 
-    def knows(self, fingerprint: int) -> bool:
+    def has_crashes(self, fingerprint: int) -> bool:
         """Tell whether a request has crashes that count."""
         return self.count(fingerprint, self._clock.now()) > 0
 
@@ -88,9 +88,9 @@
         if retrying and count >= const.QUARANTINE_THRESHOLD - 1:
             await task.join()
 
-    async def async_note_success(self, fingerprint: int) -> None:
+    async def async_record_success(self, fingerprint: int) -> None:
         """Take note of a whole answer: the request doesn't crash its upstream."""
-        if self.knows(fingerprint):
+        if self.has_crashes(fingerprint):
             await self.async_clear(fingerprint)
 
     async def async_clear(self, fingerprint: int) -> None:
--- a/bitterntiller/components/crashes/probe.py
+++ b/bitterntiller/components/crashes/probe.py
@@ -3,7 +3,7 @@
 import curio
 
 from bitterntiller.components.crashes import const
-from bitterntiller.core.dialling import async_connect
+from bitterntiller.core.tcp import async_connect
 
 
 async def async_has_ended(address: str) -> bool:
--- a/bitterntiller/components/dispatch/quota_queue.py
+++ b/bitterntiller/components/dispatch/quota_queue.py
@@ -115,7 +115,7 @@
     def is_idle(self, now: float) -> bool:
         """Return whether the queue has no requests, reservations or recent usage."""
         has_pending = self._queue or self._reservations.has_pending(now)
-        return not has_pending and not self._largest.most(now)
+        return not has_pending and not self._largest.maximum(now)
 
     def submit(
         self, request: QuotaRequest, state: QuotaState, now: float
@@ -249,7 +249,7 @@
         return state.level - reserved_now >= self._bucket_needed(state, now)
 
     def _reserve_for_largest(self, state: QuotaState, now: float) -> float:
-        return min(self._largest.most(now), LARGEST_REQUEST_FRACTION * state.limit)
+        return min(self._largest.maximum(now), LARGEST_REQUEST_FRACTION * state.limit)
 
     def _bucket_needed(self, state: QuotaState, now: float) -> float:
         return min(self._reserve_for_largest(state, now), BUCKET_FRACTION * state.depth)
@@ -280,4 +280,6 @@
         )
 
     def _reserved_for_retries(self, state: QuotaState, now: float) -> float:
-        return self._reservations.reserved_now(state.rate, self._largest.most(now), now)
+        return self._reservations.reserved_now(
+            state.rate, self._largest.maximum(now), now
+        )
--- a/bitterntiller/components/entry/__init__.py
+++ b/bitterntiller/components/entry/__init__.py
@@ -70,7 +70,7 @@
         account, runtime.links, owners, runtime.clock, runtime.settings.host
     )
     connections = ConnectionPool(
-        runtime.clock, const.MAX_IDLE_CONNECTIONS, accept_close=True
+        runtime.clock, const.MAX_IDLE_CONNECTIONS, allow_close_delimited=True
     )
     runtime.stack.push_async_callback(connections.async_close)
     views = (session.lease, session.config, owners, session.control_client)
@@ -89,7 +89,7 @@
         runtime, owners, session.config, account, client, coordinator.registry
     )
     coordinator.registry.add_listener(monitor.async_wake)
-    runtime.links.add_lost_listener(monitor.async_link_lost)
+    runtime.links.add_disconnect_listener(monitor.async_link_lost)
     await runtime.async_spawn(monitor.async_run())
     await runtime.async_spawn(coordinator.async_prune())
     return coordinator
--- a/bitterntiller/components/entry/accounting.py
+++ b/bitterntiller/components/entry/accounting.py
@@ -8,7 +8,7 @@
 
 UNIDENTIFIED = "none"
 REJECTED = "rejected"
-FIRST_SERVER_FAULT = 500
+MIN_SERVER_ERROR = 500
 
 
 def count_refusal(
@@ -48,7 +48,7 @@
     A failure with a status below 500 is reported as rejected, since the upstream is not
     at fault.
     """
-    if outcome is Outcome.FAILED and status < FIRST_SERVER_FAULT:
+    if outcome is Outcome.FAILED and status < MIN_SERVER_ERROR:
         return REJECTED
     return outcome
 
--- a/bitterntiller/components/entry/attempt.py
+++ b/bitterntiller/components/entry/attempt.py
@@ -30,7 +30,10 @@
     version_of,
 )
 from bitterntiller.components.http.client import ClientExchange
-from bitterntiller.components.http.errors import BrokenAnswerError, ConnectRefusedError
+from bitterntiller.components.http.errors import (
+    ConnectRefusedError,
+    IncompleteResponseError,
+)
 from bitterntiller.components.http.exchange import Exchange
 from bitterntiller.components.http.models import ResponseHead
 from bitterntiller.core.interfaces import SentRequest
@@ -87,7 +90,7 @@
             return verdict
         finally:
             if kept:
-                await connections.async_give_back(grant.address, client)
+                await connections.async_release(grant.address, client)
             else:
                 await client.async_close()
 
@@ -171,11 +174,11 @@
         active.sent_at = self._context.clock.now()
         self._spend_quota()
         version = version_of(grant, self._context.upstreams)
-        log_sending(active, grant, client.kept, version, active.sent_at)
+        log_sending(active, grant, client.reused, version, active.sent_at)
         try:
             await self._async_send_request(client, grant)
             head, finding = await self._async_head(client)
-        except BrokenAnswerError as error:
+        except IncompleteResponseError as error:
             return await self._async_handle_lost_response(error)
         active.load = self._context.dialect.load(head)
         active.rate_limit = self._context.dialect.rate_limit(head)
@@ -189,7 +192,7 @@
             await _async_drain_response(client)
             return Retry(grant.upstream, NOT_ADMITTED)
         if finding is ResponseClass.FOREIGN:
-            error = BrokenAnswerError("the answer names another request")
+            error = IncompleteResponseError("the answer names another request")
             return await self._async_handle_lost_response(error)
         if finding is not ResponseClass.ANSWER and self._can_repeat():
             await _async_drain_response(client)
@@ -229,13 +232,13 @@
             headers,
             active.prepared.body,
             self._timings.body,
-            close=not self._context.connections.keeps,
+            close=not self._context.connections.keeps_connections,
         )
 
     async def _async_head(
         self, client: ClientExchange
     ) -> tuple[ResponseHead, ResponseClass]:
-        """Return the head of the response and its class; raise BrokenAnswerError.
+        """Return the head of the response and its class; raise IncompleteResponseError.
 
         On a reused connection, a late response to an earlier request may arrive first.
         It carries the id of that request and is skipped.
@@ -246,7 +249,7 @@
         finding = dialect.classify_response(self._active, head)
         if finding is ResponseClass.FOREIGN:
             self._context.metrics.count(const.METRIC_LATE_RESPONSES)
-            if client.kept and await client.async_skip():
+            if client.reused and await client.async_skip_response():
                 head = await client.async_head(timeout)
                 finding = dialect.classify_response(self._active, head)
         return head, finding
@@ -315,7 +318,9 @@
         patience = times.attempt_timeout(self._active.pool, route.objective)
         return longest if patience is None else min(patience, longest)
 
-    async def _async_handle_lost_response(self, error: BrokenAnswerError) -> Verdict:
+    async def _async_handle_lost_response(
+        self, error: IncompleteResponseError
+    ) -> Verdict:
         """Return the result of an attempt without a response; it may have run.
 
         A reset or a timeout leaves open whether the upstream accepted the request, so
@@ -362,11 +367,11 @@
 async def _async_drain_response(client: ClientExchange) -> None:
     """Read the body of a response that is not relayed, to reuse the connection."""
     try:
-        await client.async_guard(const.DRAIN_IDLE_TIMEOUT)
+        await client.async_start_read_timeout(const.DRAIN_IDLE_TIMEOUT)
         for _ in range(const.DRAIN_MAX_CHUNKS):
             if await client.async_data() is None:
                 return
-    except BrokenAnswerError:
+    except IncompleteResponseError:
         return
 
 
--- a/bitterntiller/components/entry/ended_requests.py
+++ b/bitterntiller/components/entry/ended_requests.py
@@ -65,7 +65,7 @@
         owner identifies one process of the owner's host. An id that is live again is
         left out: the caller has sent a new request with it.
         """
-        upto = self._acknowledged.upto(owner)
+        upto = self._acknowledged.position(owner)
         ids = []
         for ending in self._endings:
             if ending.number <= upto or ending.at < now - KEPT_SECONDS:
@@ -88,4 +88,4 @@
 
     def note_acknowledged(self, owner: str, ends: UnacknowledgedEnds) -> None:
         """Record that an owner has acknowledged a report with these ends."""
-        self._acknowledged.note(owner, ends.upto)
+        self._acknowledged.record(owner, ends.upto)
--- a/bitterntiller/components/entry/quota.py
+++ b/bitterntiller/components/entry/quota.py
@@ -192,7 +192,7 @@
         a reservation. Otherwise, after a lost reply, this host and the ledger would
         disagree on how much was lent.
         """
-        upto = self._acknowledged.upto(ledger)
+        upto = self._acknowledged.position(ledger)
         now = self._clock.now()
         used = []
         for name in list(self._sent_by_workspace):
@@ -244,7 +244,7 @@
         After a lost reply the usage is reported and counted again, which refuses
         requests but never exceeds the quota.
         """
-        self._acknowledged.note(ledger, told.upto)
+        self._acknowledged.record(ledger, told.upto)
 
     def update_level(self, workspace: str, left: float, paced: float) -> None:
         """Update the level of a quota from the reply to a reservation."""
--- a/bitterntiller/components/entry/relay.py
+++ b/bitterntiller/components/entry/relay.py
@@ -24,7 +24,7 @@
     async_open_resume,
 )
 from bitterntiller.components.http.client import ClientExchange
-from bitterntiller.components.http.errors import BrokenAnswerError
+from bitterntiller.components.http.errors import IncompleteResponseError
 from bitterntiller.components.http.exchange import Exchange
 from bitterntiller.components.http.models import ResponseHead
 
@@ -58,7 +58,7 @@
         if not self._exchange.started:
             headers = self._context.dialect.response_headers(self._active, head)
             await self._exchange.async_start(head.status, headers)
-        await client.async_guard(self._idle_timeout())
+        await client.async_start_read_timeout(self._idle_timeout())
         if streams and not self._bodyless:
             whole = await self._async_relay_stream(client)
         else:
@@ -95,7 +95,7 @@
 
         A response over BUFFERED_BYTES is relayed as it arrives.
         """
-        await client.async_guard(self._idle)
+        await client.async_start_read_timeout(self._idle)
         parts: list[bytes] = []
         size = 0
         try:
@@ -104,7 +104,7 @@
                 size += len(data)
                 if size > const.BUFFERED_BYTES:
                     return await self._async_relay_oversized(client, head, parts)
-        except BrokenAnswerError:
+        except IncompleteResponseError:
             return Retry(self._active.upstream, LOST_RESPONSE, ran=True)
         self._note_first_byte()
         headers = self._context.dialect.response_headers(self._active, head)
@@ -135,7 +135,7 @@
                     return True
                 self._note_first_byte()
                 await self._exchange.async_send(data)
-        except BrokenAnswerError:
+        except IncompleteResponseError:
             return False
 
     async def _async_relay_stream(self, client: ClientExchange) -> bool:
@@ -189,7 +189,7 @@
             if client is None:
                 await curio.sleep(const.RESUME_DELAY)
                 continue
-            await client.async_guard(self._idle)
+            await client.async_start_read_timeout(self._idle)
             try:
                 if await self._async_relay_events(client, stream):
                     return True
@@ -212,7 +212,7 @@
                     self._note_first_byte()
                     self._active.output_tokens += events.count
                     await self._exchange.async_send(events.data)
-        except (BrokenAnswerError, BrokenStreamError):
+        except (IncompleteResponseError, BrokenStreamError):
             return stream.ended
         finally:
             self._active.cached_tokens = stream.cached_tokens
--- a/bitterntiller/components/entry/server.py
+++ b/bitterntiller/components/entry/server.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 
 from bitterntiller.components.entry.coordinator import EntryCoordinator
+from bitterntiller.components.http.buffered import async_serve_buffered
 from bitterntiller.components.http.exchange import Exchange
 from bitterntiller.components.http.models import RequestHandler
 from bitterntiller.components.http.server import HttpServer, ServerLimits
-from bitterntiller.components.http.whole import async_serve_whole
 from bitterntiller.components.node.coordinator import NodeCoordinator
 from bitterntiller.components.settings.models import Address
 from bitterntiller.components.upstreams.const import MAX_BODY_BYTES
@@ -61,7 +61,7 @@
         elif path == PATH_READY:
             await self._async_ready(exchange)
         elif path == PATH_ANNOUNCE:
-            await async_serve_whole(
+            await async_serve_buffered(
                 exchange, self._announcements, MAX_BODY_BYTES, self._body_timeout
             )
         else:
--- a/bitterntiller/components/entry/upstream_calls.py
+++ b/bitterntiller/components/entry/upstream_calls.py
@@ -3,7 +3,10 @@
 from bitterntiller.components.entry import const
 from bitterntiller.components.entry.models import ActiveRequest
 from bitterntiller.components.http.client import ClientExchange, async_fetch
-from bitterntiller.components.http.errors import BrokenAnswerError, ConnectRefusedError
+from bitterntiller.components.http.errors import (
+    ConnectRefusedError,
+    IncompleteResponseError,
+)
 from bitterntiller.components.http.models import Headers, ResponseHead, header
 
 STATUS_OK = 200
@@ -45,7 +48,7 @@
         head = await client.async_head(timeout)
         if head.status == STATUS_OK and matches_request(active, head):
             return client
-    except BrokenAnswerError:
+    except IncompleteResponseError:
         pass
     await client.async_close()
     return None
@@ -59,6 +62,6 @@
         answer = await async_fetch(
             address, "DELETE", target, headers, b"", const.CANCEL_TIMEOUT
         )
-    except (ConnectRefusedError, BrokenAnswerError):
+    except (ConnectRefusedError, IncompleteResponseError):
         return False
     return answer.status < 300
--- a/bitterntiller/components/http/whole.py
+++ b/bitterntiller/components/http/buffered.py
@@ -4,7 +4,7 @@
 from bitterntiller.components.http.models import HttpRequest, RequestHandler
 
 
-async def async_serve_whole(
+async def async_serve_buffered(
     exchange: Exchange, handler: RequestHandler, body_limit: int, timeout: float
 ) -> None:
     """Read the whole request and send the handler's answer.
--- a/bitterntiller/components/http/const.py
+++ b/bitterntiller/components/http/const.py
@@ -47,12 +47,12 @@
 METRIC_CONNECTIONS_REFUSED = "http.connections_refused"
 METRIC_HANDLER_ERROR = "http.handler_error"
 
-TURN_AWAY_SECONDS = 0.2
-_TURNED_AWAY_BODY = b'{"outcome": "not-run", "reason": "too-many-connections"}\n'
-TURNED_AWAY = (
+REJECT_LINGER_SECONDS = 0.2
+_REJECT_BODY = b'{"outcome": "not-run", "reason": "too-many-connections"}\n'
+REJECT_RESPONSE = (
     b"HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\nretry-after: 1\r\n"
     b"content-type: application/json\r\nx-outcome: not-run\r\ncontent-length: "
-    + str(len(_TURNED_AWAY_BODY)).encode()
+    + str(len(_REJECT_BODY)).encode()
     + b"\r\n\r\n"
-    + _TURNED_AWAY_BODY
+    + _REJECT_BODY
 )
--- a/bitterntiller/components/http/errors.py
+++ b/bitterntiller/components/http/errors.py
@@ -31,7 +31,7 @@
     code = "connect-refused"
 
 
-class BrokenAnswerError(HttpError):
+class IncompleteResponseError(HttpError):
     """Raised when an upstream's answer ended before its end marker."""
 
     code = "broken-answer"
--- a/bitterntiller/components/http/pool.py
+++ b/bitterntiller/components/http/pool.py
@@ -19,22 +19,22 @@
     def __init__(
         self,
         clock: Clock,
-        most_idle: int = 0,
+        max_idle: int = 0,
         idle_limit: float = const.DEFAULT_IDLE_LIMIT,
-        accept_close: bool = False,
+        allow_close_delimited: bool = False,
     ) -> None:
         self._clock = clock
-        self._most_idle = most_idle
+        self._max_idle = max_idle
         self._idle_limit = idle_limit
-        self._accept_close = accept_close
+        self._allow_close_delimited = allow_close_delimited
         self._idle_by_address: dict[str, deque[ClientExchange]] = {}
         self.opened = 0
         self.reused = 0
 
     @property
-    def keeps(self) -> bool:
+    def keeps_connections(self) -> bool:
         """Tell whether connections are kept at all."""
-        return self._most_idle > 0
+        return self._max_idle > 0
 
     async def async_acquire(self, address: str, timeout: float) -> ClientExchange:
         """Return a connection; raise ConnectRefusedError when none can be made.
@@ -49,17 +49,19 @@
                 return client
             await client.async_close()
         self.opened += 1
-        return await ClientExchange.async_open(address, timeout, self._accept_close)
+        return await ClientExchange.async_open(
+            address, timeout, self._allow_close_delimited
+        )
 
-    async def async_give_back(self, address: str, client: ClientExchange) -> None:
+    async def async_release(self, address: str, client: ClientExchange) -> None:
         """Keep a connection after its exchange, or close it."""
-        if not self._most_idle or not await client.async_release():
+        if not self._max_idle or not await client.async_prepare_reuse():
             await client.async_close()
             return
         client.idle_since = self._clock.now()
         idle = self._idle_by_address.setdefault(address, deque())
         idle.append(client)
-        if len(idle) > self._most_idle:
+        if len(idle) > self._max_idle:
             await idle.popleft().async_close()
 
     async def async_prune(self) -> None:
--- a/bitterntiller/components/http/server.py
+++ b/bitterntiller/components/http/server.py
@@ -13,11 +13,11 @@
 from bitterntiller.components.http.exchange import Exchange, ServerConnection
 from bitterntiller.components.http.models import RequestHead
 from bitterntiller.components.settings.models import Address
-from bitterntiller.core.dialling import notice_silence
 from bitterntiller.core.errors import BrokenInvariantError
 from bitterntiller.core.interfaces import Metrics
 from bitterntiller.core.listener import Listener
 from bitterntiller.core.runtime import Runtime
+from bitterntiller.core.tcp import enable_keepalive
 
 ExchangeHandler = Callable[[Exchange], Awaitable[None]]
 
@@ -82,7 +82,7 @@
         # A caller may stop reading for as long as a writing may wait, and somewhat
         # longer while all it has not read fits into the kernel.
         try:
-            notice_silence(sock, max(1, int(limits.write_timeout)) * 2)
+            enable_keepalive(sock, max(1, int(limits.write_timeout)) * 2)
         except OSError:
             return
         self.connections += 1
@@ -215,9 +215,9 @@
 async def _async_reject(sock: Any) -> None:
     """Answer a connection over the bound, without reading its request."""
     try:
-        await sock.sendall(const.TURNED_AWAY)
+        await sock.sendall(const.REJECT_RESPONSE)
         await sock.shutdown(socket.SHUT_WR)
-        async with curio.ignore_after(const.TURN_AWAY_SECONDS):
+        async with curio.ignore_after(const.REJECT_LINGER_SECONDS):
             await sock.recv(const.READ_BYTES)
     except OSError:
         return
--- a/bitterntiller/components/links/connection.py
+++ b/bitterntiller/components/links/connection.py
@@ -53,7 +53,7 @@
         self._wake = curio.Event()
         self._sent = False
         self._received = False
-        self._unanswered = curio.Event()
+        self._send_pending = curio.Event()
 
     def send(self, message: Any, call: int = 0, reply: bool = False) -> bool:
         """Queue a frame without waiting; False when it will not leave."""
@@ -73,8 +73,8 @@
     async def async_flush_soon(self) -> None:
         """Wake the writer after send(), and the watch that it may be asleep."""
         await self._wake.set()
-        if not self._unanswered.is_set():
-            await self._unanswered.set()
+        if not self._send_pending.is_set():
+            await self._send_pending.set()
 
     async def async_call(self, message: Any, timeout: float) -> Any:
         """Send and return the reply; raise LinkError."""
@@ -104,14 +104,14 @@
             async with curio.TaskGroup(wait=any) as group:
                 await group.spawn(self._async_write)
                 await group.spawn(self._async_read)
-                await group.spawn(self._async_watch)
+                await group.spawn(self._async_check_liveness)
         finally:
             self.open = False
             await self._sock.close()
             for pending in list(self._calls_by_number.values()):
                 await pending.done.set()
 
-    async def _async_watch(self) -> None:
+    async def _async_check_liveness(self) -> None:
         """Return when the connection has gone silent for good.
 
         Some connections lose all that is sent on them while new ones work. Nothing
@@ -120,11 +120,11 @@
         a host of control has a connection to every other host, most of them quiet.
         """
         silent = 0
-        while silent < const.SILENT_PERIODS:
+        while silent < const.MAX_SILENT_PERIODS:
             if not self._sent:
-                self._unanswered.clear()
-                await self._unanswered.wait()
-            await curio.sleep(const.WATCH_PERIOD)
+                self._send_pending.clear()
+                await self._send_pending.wait()
+            await curio.sleep(const.LIVENESS_CHECK_PERIOD)
             heard, self._received = self._received, False
             if heard or not self._sent:
                 silent = 0
@@ -160,7 +160,7 @@
                 self._sent = False
                 self._metrics.count(const.METRIC_RECEIVED_BYTES, len(data))
                 for frame in buffer.feed(data):
-                    await self._async_take(unpack(frame))
+                    await self._async_on_frame(unpack(frame))
         except OSError:
             return
         except MalformedMessageError:
@@ -168,7 +168,7 @@
             # point can be trusted, so the connection is given up and dialled anew.
             self._metrics.count(const.METRIC_MALFORMED)
 
-    async def _async_take(self, incoming: Incoming) -> None:
+    async def _async_on_frame(self, incoming: Incoming) -> None:
         if isinstance(incoming.message, messages.LinkPong):
             return
         if isinstance(incoming.message, messages.LinkPing):
--- a/bitterntiller/components/links/const.py
+++ b/bitterntiller/components/links/const.py
@@ -17,12 +17,12 @@
 regions.
 """
 
-SILENCE_SECONDS = 4
+KEEPALIVE_TIMEOUT = 4
 REDIAL_DELAY = 0.1
 """Seconds in which messages to a host that could not be reached are dropped at once."""
 
-WATCH_PERIOD = 0.3
-SILENT_PERIODS = 3
+LIVENESS_CHECK_PERIOD = 0.3
+MAX_SILENT_PERIODS = 3
 """A connection on which something was sent and nothing came for so many periods, a ping
 not answered among it, is given up. That is 0.9 to 1.2 s, several times what a process
 stands still at most, and less than a lease of the configuration bears."""
--- a/bitterntiller/components/links/coordinator.py
+++ b/bitterntiller/components/links/coordinator.py
@@ -18,11 +18,11 @@
 from bitterntiller.components.links.models import Incoming, Peer
 from bitterntiller.components.settings.models import Address
 from bitterntiller.core.clock import Clock
-from bitterntiller.core.dialling import async_connect, notice_silence
 from bitterntiller.core.errors import BrokenInvariantError
 from bitterntiller.core.interfaces import MessageHandler, Metrics
 from bitterntiller.core.listener import Listener
 from bitterntiller.core.runtime import Runtime
+from bitterntiller.core.tcp import async_connect, enable_keepalive
 from bitterntiller.protocol import messages
 
 
@@ -60,11 +60,11 @@
         self._failed_at_by_address: dict[str, float] = {}
         self._running_by_connection: dict[Connection, curio.Task] = {}
         self._runtime: Runtime | None = None
-        self._lost_listeners: list[Callable[[], Awaitable[None]]] = []
+        self._disconnect_listeners: list[Callable[[], Awaitable[None]]] = []
 
-    def add_lost_listener(self, listener: Callable[[], Awaitable[None]]) -> None:
+    def add_disconnect_listener(self, listener: Callable[[], Awaitable[None]]) -> None:
         """Have a callback awaited when a connection to a peer has ended."""
-        self._lost_listeners.append(listener)
+        self._disconnect_listeners.append(listener)
 
     def handle(self, cls: type, handler: MessageHandler) -> Callable[[], None]:
         """Have a handler called for each message of a type; return the removal."""
@@ -133,19 +133,19 @@
 
     async def _async_accept(self, sock: curio.io.Socket) -> None:
         try:
-            notice_silence(sock, const.SILENCE_SECONDS)
+            enable_keepalive(sock, const.KEEPALIVE_TIMEOUT)
             peer = await handshake.async_accept(sock, self._key, self.own)
         except OSError:
             return
         except HandshakeError as error:
             self._metrics.count(const.METRIC_WRONG_KEY)
-            await _async_fault(sock, const.FAULT_UNAUTHORIZED, error.text)
+            await _async_send_fault(sock, const.FAULT_UNAUTHORIZED, error.text)
             return
         connection = Connection(sock, peer, self._async_incoming, self._metrics)
-        await self._async_keep(peer.address, connection)
+        await self._async_store(peer.address, connection)
         await self._async_run(connection)
 
-    async def _async_keep(self, address: str, connection: Connection) -> None:
+    async def _async_store(self, address: str, connection: Connection) -> None:
         """Use the connection for sending, unless an open one is in use.
 
         Changing an open connection for another could let a later message
@@ -171,7 +171,7 @@
             self._running_by_connection.pop(connection, None)
             if self._connections_by_address.get(address) is connection:
                 del self._connections_by_address[address]
-        for listener in self._lost_listeners:
+        for listener in self._disconnect_listeners:
             await listener()
 
     async def _async_connection(self, address: str) -> Connection | None:
@@ -197,7 +197,7 @@
     async def _async_dial(self, address: str, settled: curio.Event) -> None:
         try:
             connection = await self._async_open(address)
-            await self._async_keep(address, connection)
+            await self._async_store(address, connection)
         except (OSError, ValueError, HandshakeError):
             self._failed_at_by_address[address] = self._clock.now()
             return
@@ -212,7 +212,7 @@
         ip, _, port = address.rpartition(":")
         sock = await async_connect(ip, int(port), const.CONNECT_TIMEOUT)
         try:
-            notice_silence(sock, const.SILENCE_SECONDS)
+            enable_keepalive(sock, const.KEEPALIVE_TIMEOUT)
             peer = await handshake.async_connect(sock, self._key, self.own, address)
         except BaseException:
             # Left open, the socket of each failed handshake would stay until the
@@ -262,7 +262,7 @@
             return messages.Fault(code=const.FAULT_INTERNAL, text=repr(error))
 
 
-async def _async_fault(sock: curio.io.Socket, code: int, text: str) -> None:
+async def _async_send_fault(sock: curio.io.Socket, code: int, text: str) -> None:
     try:
         await sock.sendall(pack(messages.Fault(code=code, text=text)))
     except OSError:
--- a/bitterntiller/components/links/handshake.py
+++ b/bitterntiller/components/links/handshake.py
@@ -28,16 +28,16 @@
     return hmac.digest(key, nonce + text, "sha256")
 
 
-async def _async_read(sock: curio.io.Socket, cls: type) -> Any:
+async def _async_read_message(sock: curio.io.Socket, cls: type) -> Any:
     """Return the one next message, which must be of the given type.
 
     Not a byte beyond it is read: the accepting side may send its first messages
     right behind its reply, and what was read of them here would be lost.
     """
-    length = int.from_bytes(await _async_exactly(sock, LENGTH_BYTES), "big")
+    length = int.from_bytes(await _async_read_exactly(sock, LENGTH_BYTES), "big")
     if length > MAX_HANDSHAKE_BYTES:
         raise HandshakeError(f"a frame of {length} bytes")
-    incoming = unpack_stranger(await _async_exactly(sock, length))
+    incoming = unpack_stranger(await _async_read_exactly(sock, length))
     if isinstance(incoming.message, messages.Fault):
         raise HandshakeError(incoming.message.text)
     if not isinstance(incoming.message, cls):
@@ -45,7 +45,7 @@
     return incoming.message
 
 
-async def _async_exactly(sock: curio.io.Socket, size: int) -> bytes:
+async def _async_read_exactly(sock: curio.io.Socket, size: int) -> bytes:
     parts = bytearray()
     while len(parts) < size:
         data = await sock.recv(size - len(parts))
@@ -61,7 +61,7 @@
         async with curio.timeout_after(HANDSHAKE_TIMEOUT):
             nonce = secrets.token_bytes(NONCE_BYTES)
             await sock.sendall(pack(messages.Challenge(nonce=nonce)))
-            hello = await _async_read(sock, messages.Hello)
+            hello = await _async_read_message(sock, messages.Hello)
             peer = Peer(hello.host, hello.incarnation, hello.address)
             if not hmac.compare_digest(hello.proof, proof(key, nonce, peer)):
                 raise HandshakeError("wrong key")
@@ -78,7 +78,7 @@
     """Prove the key to an accepting host and return who it is."""
     try:
         async with curio.timeout_after(HANDSHAKE_TIMEOUT):
-            challenge = await _async_read(sock, messages.Challenge)
+            challenge = await _async_read_message(sock, messages.Challenge)
             hello = messages.Hello(
                 host=own.host,
                 incarnation=own.incarnation,
@@ -86,7 +86,7 @@
                 proof=proof(key, challenge.nonce, own),
             )
             await sock.sendall(pack(hello))
-            reply = await _async_read(sock, messages.HelloReply)
+            reply = await _async_read_message(sock, messages.HelloReply)
             return Peer(reply.host, reply.incarnation, address)
     except (curio.TaskTimeout, MalformedMessageError, OSError) as error:
         raise HandshakeError(f"no handshake: {error!r}") from error
--- a/bitterntiller/components/operator/__init__.py
+++ b/bitterntiller/components/operator/__init__.py
@@ -1,8 +1,8 @@
 """The operator port: configuration, the dump, and the state of control."""
 
+from bitterntiller.components.http.buffered import async_serve_buffered
 from bitterntiller.components.http.exchange import Exchange
 from bitterntiller.components.http.server import HttpServer, ServerLimits
-from bitterntiller.components.http.whole import async_serve_whole
 from bitterntiller.components.operator import const
 from bitterntiller.components.operator.coordinator import OperatorCoordinator
 from bitterntiller.components.operator.diagnostics import make_dump
@@ -28,7 +28,7 @@
     )
 
     async def async_exchange(exchange: Exchange) -> None:
-        await async_serve_whole(
+        await async_serve_buffered(
             exchange, coordinator, const.MAX_BODY_BYTES, timings.body
         )
 
--- a/bitterntiller/components/orders/sender.py
+++ b/bitterntiller/components/orders/sender.py
@@ -5,8 +5,8 @@
 
 from bitterntiller.components.http.client import ClientExchange
 from bitterntiller.components.http.errors import (
-    BrokenAnswerError,
     ConnectRefusedError,
+    IncompleteResponseError,
 )
 from bitterntiller.components.orders import const
 from bitterntiller.components.orders.errors import OrderMismatchError
@@ -31,7 +31,7 @@
         if not may_send():
             return OrderOutcome(const.STATE_NOT_SENT, "no lease of the pool")
         return await _async_exchange(exchange, order, timeout)
-    except (BrokenAnswerError, OrderMismatchError) as error:
+    except (IncompleteResponseError, OrderMismatchError) as error:
         return OrderOutcome(const.STATE_UNKNOWN, error.text)
     finally:
         await exchange.async_close()
--- a/bitterntiller/components/replication/coordinator.py
+++ b/bitterntiller/components/replication/coordinator.py
@@ -119,7 +119,7 @@
         self._waiters.drop_read(token, read)
         return None
 
-    async def async_hand_over(self, timeout: float) -> bool:
+    async def async_transfer_leadership(self, timeout: float) -> bool:
         """Transfer leadership before this replica stops; return False if that fails.
 
         Return True at once if this replica is not the leader.
@@ -142,7 +142,7 @@
         member = find(state.members, state.leader)
         return member.address if member else ""
 
-    async def async_leader_known(self, timeout: float) -> None:
+    async def async_wait_for_leader(self, timeout: float) -> None:
         """Wait until a leader is known here, for up to timeout seconds."""
         async with curio.ignore_after(timeout):
             await self._leader_known.wait()
--- a/bitterntiller/core/acknowledged.py
+++ b/bitterntiller/core/acknowledged.py
@@ -1,6 +1,6 @@
 """Up to which number each of several receivers has acknowledged a series."""
 
-MOST_RECEIVERS = 16
+MAX_RECEIVERS = 16
 """Receivers that are remembered; one that was forgotten is sent the whole series again.
 Owners of pools and counting hosts are few, and a new one comes with each restart."""
 
@@ -9,15 +9,15 @@
     """The number of the last item that each receiver has acknowledged."""
 
     def __init__(self) -> None:
-        self._upto_by_receiver: dict[str, int] = {}
+        self._position_by_receiver: dict[str, int] = {}
 
-    def upto(self, receiver: str) -> int:
+    def position(self, receiver: str) -> int:
         """Return the number up to which a receiver has acknowledged, 0 for none."""
-        return self._upto_by_receiver.get(receiver, 0)
+        return self._position_by_receiver.get(receiver, 0)
 
-    def note(self, receiver: str, upto: int) -> None:
+    def record(self, receiver: str, upto: int) -> None:
         """Note that a receiver has acknowledged all up to a number."""
-        self._upto_by_receiver[receiver] = upto
-        while len(self._upto_by_receiver) > MOST_RECEIVERS:
-            oldest = next(iter(self._upto_by_receiver))
-            self._upto_by_receiver.pop(oldest)
+        self._position_by_receiver[receiver] = upto
+        while len(self._position_by_receiver) > MAX_RECEIVERS:
+            oldest = next(iter(self._position_by_receiver))
+            self._position_by_receiver.pop(oldest)
--- a/bitterntiller/core/decaying.py
+++ b/bitterntiller/core/decaying.py
@@ -48,9 +48,9 @@
         while amounts and amounts[-1][1] <= amount:
             amounts.pop()
         amounts.append((now, amount))
-        return self.most(now)
+        return self.maximum(now)
 
-    def most(self, now: float) -> float:
+    def maximum(self, now: float) -> float:
         """Return the largest amount of the span that ends now, 0 without any."""
         amounts = self._amounts
         while amounts and amounts[0][0] < now - self._seconds:
--- a/bitterntiller/core/document.py
+++ b/bitterntiller/core/document.py
@@ -54,9 +54,11 @@
         text = path.read_bytes().decode()
     except UnicodeDecodeError as error:
         line = error.object[: error.start].count(b"\n") + 1
-        raise _fault(str(path), line, "not UTF-8") from error
+        raise _document_error(str(path), line, "not UTF-8") from error
     except OSError as error:
-        raise _fault(str(path), 1, f"can't be read: {error.strerror}") from error
+        raise _document_error(
+            str(path), 1, f"can't be read: {error.strerror}"
+        ) from error
     return parse_document(text, str(path))
 
 
@@ -73,30 +75,30 @@
     bare = _STRING_OR_COMMENT.sub(lambda found: found[1] or " ", text)
     value = json.loads(
         bare,
-        object_pairs_hook=_distinct,
-        parse_float=_finite,
-        parse_constant=_no_constant,
+        object_pairs_hook=_reject_duplicate_keys,
+        parse_float=_parse_finite,
+        parse_constant=_reject_constant,
     )
     # Half of a surrogate pair passes the parser, but no message could carry it.
     json.dumps(value, ensure_ascii=False).encode()
     return value
 
 
-def _distinct(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     value = dict(pairs)
     if len(value) != len(pairs):
         raise ValueError("a key given twice")
     return value
 
 
-def _finite(digits: str) -> float:
+def _parse_finite(digits: str) -> float:
     value = float(digits)
     if not math.isfinite(value):
         raise ValueError("a number out of range")
     return value
 
 
-def _no_constant(name: str) -> float:
+def _reject_constant(name: str) -> float:
     raise ValueError(f"{name} is not JSON")
 
 
@@ -107,5 +109,5 @@
     return DocumentError(problems or [LocatedProblem(file, 1, ".", "not JSON")])
 
 
-def _fault(file: str, line: int, text: str) -> DocumentError:
+def _document_error(file: str, line: int, text: str) -> DocumentError:
     return DocumentError([LocatedProblem(file, line, ".", text)])
--- a/bitterntiller/core/interfaces.py
+++ b/bitterntiller/core/interfaces.py
@@ -14,7 +14,7 @@
         """Have a handler called for each message of a type; return the removal."""
         ...
 
-    def add_lost_listener(self, listener: Callable[[], Awaitable[None]]) -> None:
+    def add_disconnect_listener(self, listener: Callable[[], Awaitable[None]]) -> None:
         """Have a callback awaited when a connection to a peer has ended."""
         ...
 
@@ -136,7 +136,7 @@
         """
         ...
 
-    async def async_note_success(self, fingerprint: int) -> None:
+    async def async_record_success(self, fingerprint: int) -> None:
         """Take note of a whole answer to a request."""
         ...
 
@@ -148,7 +148,7 @@
         """Return the crashes of each request by its fingerprint."""
         ...
 
-    def knows(self, fingerprint: int) -> bool:
+    def has_crashes(self, fingerprint: int) -> bool:
         """Tell whether a request has crashes that count."""
         ...
 
@@ -245,7 +245,7 @@
         """
         ...
 
-    async def async_hand_over(self, timeout: float) -> bool:
+    async def async_transfer_leadership(self, timeout: float) -> bool:
         """Have another replica lead before this one stops; False if none does."""
         ...
 
@@ -257,7 +257,7 @@
         """Return the internal address of the leader, empty when not known."""
         ...
 
-    async def async_leader_known(self, timeout: float) -> None:
+    async def async_wait_for_leader(self, timeout: float) -> None:
         """Return once a leader is known here, or after timeout seconds."""
         ...
 
--- a/bitterntiller/core/listener.py
+++ b/bitterntiller/core/listener.py
@@ -36,14 +36,14 @@
         """Accept until cancelled; then end all connections."""
         self._runtime = runtime
         async with AsyncExitStack() as stack:
-            stack.push_async_callback(self._async_end)
-            self._accepting = await curio.spawn(self._async_accept_all, daemon=True)
+            stack.push_async_callback(self._async_close_all)
+            self._accepting = await curio.spawn(self._async_accept_loop, daemon=True)
             await curio.Event().wait()
 
-    async def _async_accept_all(self) -> None:
+    async def _async_accept_loop(self) -> None:
         while True:
             sock = await self._async_accept()
-            task = await curio.spawn(self._async_one, sock, daemon=True)
+            task = await curio.spawn(self._async_handle, sock, daemon=True)
             self._tasks.add(task)
 
     async def async_close(self) -> None:
@@ -75,7 +75,7 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             return sock
 
-    async def _async_one(self, sock: Any) -> None:
+    async def _async_handle(self, sock: Any) -> None:
         try:
             async with sock:
                 await self._handler(sock)
@@ -86,7 +86,7 @@
         finally:
             self._tasks.discard(await curio.current_task())
 
-    async def _async_end(self) -> None:
+    async def _async_close_all(self) -> None:
         await self.async_close()
         for task in list(self._tasks):
             await task.cancel()
--- a/bitterntiller/core/dialling.py
+++ b/bitterntiller/core/tcp.py
@@ -6,8 +6,8 @@
 import curio
 from curio import socket
 
-MOST_PROBES = 127
-LONGEST_IDLE = 32767
+MAX_KEEPALIVE_PROBES = 127
+MAX_KEEPALIVE_IDLE = 32767
 
 
 async def async_connect(ip: str, port: int, timeout: float) -> Any:
@@ -35,15 +35,15 @@
     return sock
 
 
-def notice_silence(sock: Any, seconds: int) -> None:
+def enable_keepalive(sock: Any, seconds: int) -> None:
     """Have a connection break when its peer's host is silent for some seconds.
 
     A host that loses its power or its network sends no reset. The connection would
     stand open for a quarter of an hour, and after a partition the kernel may wait two
     minutes before it tries again; what is sent meanwhile seems to leave.
     """
-    probes = min(max(1, seconds // 2), MOST_PROBES)
-    idle = min(max(1, seconds - probes), LONGEST_IDLE)
+    probes = min(max(1, seconds // 2), MAX_KEEPALIVE_PROBES)
+    idle = min(max(1, seconds - probes), MAX_KEEPALIVE_IDLE)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, idle)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
--- a/bitterntiller/daemon/process.py
+++ b/bitterntiller/daemon/process.py
@@ -75,19 +75,21 @@
         replica = await control.async_setup(runtime, replication.async_setup)
     session = await node.async_setup(runtime)
     views = (session.lease, session.config, session.directory)
-    found = await crashes.async_setup(runtime, session.config, session.directory)
+    crash_coordinator = await crashes.async_setup(
+        runtime, session.config, session.directory
+    )
     owner = None
     if ROLE_DISPATCH in roles:
         owner = await dispatch.async_setup(
-            runtime, *views, found, session.versions, session.control_client
+            runtime, *views, crash_coordinator, session.versions, session.control_client
         )
         issuer = await orders.async_setup(runtime, session)
         owner.add_announce_listener(issuer.record_announcement)
-    await operator.async_setup(runtime, session.control_client, found)
+    await operator.async_setup(runtime, session.control_client, crash_coordinator)
     callers = None
     if ROLE_ENTRY in roles:
         callers = await entry.async_setup(
-            runtime, *views, session.control_client, found
+            runtime, *views, session.control_client, crash_coordinator
         )
         announcements = upstreams.setup(runtime, session.config, session.directory)
         port = CallerPort(runtime, callers, announcements)
@@ -129,9 +131,9 @@
     parts.node.set_draining()
     if parts.entry is not None:
         await parts.entry.async_begin_drain()
-    await _async_hand_over(runtime, parts)
+    await _async_release_pools(runtime, parts)
     if parts.control is not None:
-        await parts.control.async_hand_over()
+        await parts.control.async_transfer_leadership()
     if parts.entry is None:
         return EXIT_OK
     async with curio.TaskGroup(wait=any) as group:
@@ -146,7 +148,7 @@
     return EXIT_CUT
 
 
-async def _async_hand_over(runtime: Runtime, parts: Parts) -> None:
+async def _async_release_pools(runtime: Runtime, parts: Parts) -> None:
     """Give the owned pools back first, so that waiting work finds a new owner."""
     if parts.dispatch is None:
         return
--- a/tests/cli/builders.py
+++ b/tests/cli/builders.py
@@ -8,9 +8,9 @@
 import curio
 
 from bitterntiller.cli.operator_client import Answer
+from bitterntiller.components.http.buffered import async_serve_buffered
 from bitterntiller.components.http.exchange import Exchange
 from bitterntiller.components.http.server import HttpServer, ServerLimits
-from bitterntiller.components.http.whole import async_serve_whole
 from bitterntiller.components.settings.models import Address
 
 
@@ -43,7 +43,7 @@
     stop = curio.UniversalEvent()
 
     async def async_exchange(exchange: Exchange):
-        await async_serve_whole(exchange, handler, 1 << 20, 5.0)
+        await async_serve_buffered(exchange, handler, 1 << 20, 5.0)
 
     async def async_main():
         limits = ServerLimits(32768, 10, 5.0, 5.0, 5.0)
--- a/tests/cli/test_applying.py
+++ b/tests/cli/test_applying.py
@@ -4,14 +4,14 @@
 from bitterntiller.cli import const
 from bitterntiller.cli.applying import Change, async_apply
 from bitterntiller.components.http.errors import (
-    BrokenAnswerError,
     ConnectRefusedError,
+    IncompleteResponseError,
 )
 from tests.cli.builders import ScriptedClient
 
 CHANGE = Change("id-1", 6, {"tiers": {}})
 REFUSED = ConnectRefusedError("refused")
-LOST = BrokenAnswerError("lost")
+LOST = IncompleteResponseError("lost")
 UNKNOWN = (503, {"status": "unknown", "text": "open"})
 ACCEPTED = (200, {"status": "accepted", "version": 7})
 CONFLICT = (409, {"status": "conflict", "version": 9})
--- a/tests/cli/test_repairing.py
+++ b/tests/cli/test_repairing.py
@@ -5,13 +5,13 @@
 from bitterntiller.cli.errors import ToolError
 from bitterntiller.cli.repairing import async_repair
 from bitterntiller.components.http.errors import (
-    BrokenAnswerError,
     ConnectRefusedError,
+    IncompleteResponseError,
 )
 from tests.cli.builders import ScriptedClient
 
 REFUSED = ConnectRefusedError("refused")
-LOST = BrokenAnswerError("lost")
+LOST = IncompleteResponseError("lost")
 UNKNOWN = (503, {"status": "unknown"})
 RUNNING = (202, {"status": "running", "text": "b is catching up"})
 DONE = (200, {"status": "done", "text": "1 further losses are survived"})
--- a/tests/components/control/builders.py
+++ b/tests/components/control/builders.py
@@ -105,7 +105,7 @@
     def leader(self):
         return self.address
 
-    async def async_leader_known(self, timeout):
+    async def async_wait_for_leader(self, timeout):
         return
 
     def status(self):
--- a/tests/components/control/schedule_fakes.py
+++ b/tests/components/control/schedule_fakes.py
@@ -99,7 +99,7 @@
     def leader(self):
         return self.address
 
-    async def async_leader_known(self, timeout):
+    async def async_wait_for_leader(self, timeout):
         return
 
     def status(self):
--- a/tests/components/control/test_waiting_heartbeats.py
+++ b/tests/components/control/test_waiting_heartbeats.py
@@ -23,11 +23,11 @@
         control, log = make_control(clock, network)
         elected = curio.Event()
 
-        async def async_leader_known(timeout):
+        async def async_wait_for_leader(timeout):
             await elected.wait()
             log.leads, log.address = True, "10.0.0.1:7000"
 
-        log.async_leader_known = async_leader_known
+        log.async_wait_for_leader = async_wait_for_leader
         log.leads, log.address = False, ""
         await control.async_start(tick=False)
         async with control._runtime.stack:
--- a/tests/components/crashes/test_coordinator.py
+++ b/tests/components/crashes/test_coordinator.py
@@ -191,7 +191,7 @@
             )
             await async_settle()
             hosts.clock.advance(1.0)
-            await hosts.coordinators_by_name["a"].async_note_success(build.POISON)
+            await hosts.coordinators_by_name["a"].async_record_success(build.POISON)
             await async_settle()
         return hosts.counts()
 
@@ -202,7 +202,7 @@
     async def async_main() -> bool:
         hosts = Hosts("a", "b", owner="b")
         coordinator = hosts.coordinators_by_name["a"]
-        await coordinator.async_note_success(build.INNOCENT)
+        await coordinator.async_record_success(build.INNOCENT)
         return coordinator.history.snapshot(hosts.clock.now()).empty
 
     assert curio.run(async_main)
--- a/tests/components/http/builders.py
+++ b/tests/components/http/builders.py
@@ -9,7 +9,7 @@
 from bitterntiller.components.http.server import HttpServer, ServerLimits
 from bitterntiller.components.settings.models import Address
 from tests.components.entry.fakes import FakeMetrics
-from tests.components.links.builders import FailNotes, free_port
+from tests.components.links.builders import FailureRecorder, free_port
 
 LIMITS = ServerLimits(
     head_bytes=8192,
@@ -27,7 +27,7 @@
     """Serve a handler of exchanges; yield the server and its port."""
     port = free_port()
     server = HttpServer(Address("127.0.0.1", port), limits, handler, FakeMetrics())
-    task = await curio.spawn(server.async_serve, FailNotes())
+    task = await curio.spawn(server.async_serve, FailureRecorder())
     await curio.sleep(0.02)
     try:
         yield server, port
--- a/tests/components/links/builders.py
+++ b/tests/components/links/builders.py
@@ -29,7 +29,7 @@
     return LinkCoordinator(own, listen, KEY, RuntimeClock(), FakeMetrics())
 
 
-class FailNotes:
+class FailureRecorder:
     """Stands for the runtime, and notes what broke."""
 
     def __init__(self) -> None:
@@ -42,13 +42,13 @@
 @asynccontextmanager
 async def serving(
     host: str, incarnation: str = "i", port: int = 0
-) -> AsyncIterator[tuple[LinkCoordinator, FailNotes]]:
+) -> AsyncIterator[tuple[LinkCoordinator, FailureRecorder]]:
     """Serve links on loopback; on leaving all connections are ended."""
     links = make_links(host, port or free_port(), incarnation)
-    notes = FailNotes()
+    recorder = FailureRecorder()
     async with AsyncExitStack() as stack:
         stack.push_async_callback(links.async_close)
-        task = await curio.spawn(links.async_serve, notes)
+        task = await curio.spawn(links.async_serve, recorder)
         stack.push_async_callback(task.cancel)
         await curio.sleep(0.02)
-        yield links, notes
+        yield links, recorder
--- a/tests/components/links/test_coordinator.py
+++ b/tests/components/links/test_coordinator.py
@@ -175,7 +175,7 @@
     The connection stands open, since nobody sends a reset. Here the peer reads
     nothing, and its kernel stops taking bytes: the connection must break.
     """
-    monkeypatch.setattr(const, "SILENCE_SECONDS", 1)
+    monkeypatch.setattr(const, "KEEPALIVE_TIMEOUT", 1)
 
     async def async_main() -> None:
         stuck = curio.Event()
@@ -214,11 +214,11 @@
         raise BrokenInvariantError("two owners")
 
     async def async_main() -> list[str]:
-        async with serving("a") as (a, _), serving("b") as (b, notes):
+        async with serving("a") as (a, _), serving("b") as (b, recorder):
             b.handle(messages.Cancel, async_break)
             await a.async_send(b.own.address, CANCEL)
-            await async_until(lambda: notes.failures, 2.0)
-            return [str(error) for error in notes.failures]
+            await async_until(lambda: recorder.failures, 2.0)
+            return [str(error) for error in recorder.failures]
 
     assert len(run(async_main)) == 1
 
@@ -276,7 +276,7 @@
             async def async_drop(_incoming: Any) -> None:
                 return
 
-            connection._async_take = async_drop
+            connection._async_on_frame = async_drop
             await a.async_send(b.own.address, CANCEL)
             await async_until(lambda: not a.connected(), 3.0)
             await curio.sleep(const.REDIAL_DELAY)
--- a/tests/core/test_acknowledged.py
+++ b/tests/core/test_acknowledged.py
@@ -1,16 +1,16 @@
 """How far listeners have been told a series."""
 
-from bitterntiller.core.acknowledged import MOST_RECEIVERS, AcknowledgedPositions
+from bitterntiller.core.acknowledged import MAX_RECEIVERS, AcknowledgedPositions
 
 
 def test_each_listener_has_its_own_mark():
-    marks = AcknowledgedPositions()
-    marks.note("a", 7)
-    assert (marks.upto("a"), marks.upto("b")) == (7, 0)
+    positions = AcknowledgedPositions()
+    positions.record("a", 7)
+    assert (positions.position("a"), positions.position("b")) == (7, 0)
 
 
 def test_oldest_listener_is_forgotten_first():
-    marks = AcknowledgedPositions()
-    for number in range(MOST_RECEIVERS + 1):
-        marks.note(f"host-{number}", 5)
-    assert (marks.upto("host-0"), marks.upto("host-1")) == (0, 5)
+    positions = AcknowledgedPositions()
+    for number in range(MAX_RECEIVERS + 1):
+        positions.record(f"host-{number}", 5)
+    assert (positions.position("host-0"), positions.position("host-1")) == (0, 5)
--- a/tests/platform/builders.py
+++ b/tests/platform/builders.py
@@ -6,7 +6,7 @@
 
 import curio
 from bitterntiller_platform.configuration import parse_configuration
-from bitterntiller_platform.interface import PlatformInterface
+from bitterntiller_platform.dialect import PlatformDialect
 
 from bitterntiller.components.entry.claiming import ClaimClient
 from bitterntiller.components.entry.context import Context, QuotaGate
@@ -203,7 +203,7 @@
         stack.push_async_callback(task.cancel)
         links = _GrantingLinks(f"127.0.0.1:{listener.getsockname()[1]}")
         clock = RuntimeClock()
-        connections = ConnectionPool(clock, most_idle=2, accept_close=True)
+        connections = ConnectionPool(clock, max_idle=2, allow_close_delimited=True)
         stack.push_async_callback(connections.async_close)
         config = parse_configuration(configuration or document(), 1)
         context = Context(
@@ -216,7 +216,7 @@
             config=_ConfigView(config),
             directory=_Directory(),
             control=fakes.FakeControl(),
-            dialect=PlatformInterface(),
+            dialect=PlatformDialect(),
             connections=connections,
             quota=quota,
             response_times=ResponseTimes(),
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,7 +1,7 @@
 """Numbers in headers that other programs have written."""
 
 import pytest
-from bitterntiller_platform.interface import MAX_HEADER_NUMBER, PlatformInterface
+from bitterntiller_platform.dialect import MAX_HEADER_NUMBER, PlatformDialect
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -12,6 +12,9 @@
 SUPERSCRIPT_TWO = b"\xb2"
 HUGE = b"9" * 5000
 
+# Hypothesis derives its examples from a test's source; the alias keeps them the same.
+PlatformInterface = PlatformDialect
+
 
 def answer(value: bytes) -> ResponseHead:
     return ResponseHead(200, [(b"x-engine-load", value)])
@@ -27,7 +30,7 @@
 
     The answer tells a load with a digit that is no number, and reading it raises.
     """
-    assert PlatformInterface().load(answer(value)) is None
+    assert PlatformDialect().load(answer(value)) is None
 
 
 @given(st.binary(max_size=40) | st.just(HUGE + b"," + HUGE + b",7"))
@@ -50,10 +53,10 @@
 
 def test_numbers_of_a_caller_are_bounded():
     head = request((b"x-token-usage", HUGE + b",7"), (b"x-length-hint", HUGE))
-    work = PlatformInterface().parse_request(head, 0.0).work
+    work = PlatformDialect().parse_request(head, 0.0).work
     assert (work.prompt_tokens, work.output_tokens) == (MAX_HEADER_NUMBER, 7)
     odd = request((b"x-token-usage", SUPERSCRIPT_TWO + b",7"))
-    assert PlatformInterface().parse_request(odd, 0.0).work is None
+    assert PlatformDialect().parse_request(odd, 0.0).work is None
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/test_reload.py
+++ b/tests/platform/test_reload.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 import pytest
-from bitterntiller_platform.reload import SettingsFollower
+from bitterntiller_platform.reload import SettingsReloader
 from bitterntiller_platform.settings import load_settings
 
 from tests.platform.test_settings import FILE
@@ -27,34 +27,34 @@
 
 
 @pytest.fixture
-def followed(tmp_path):
+def reloader_setup(tmp_path):
     path = tmp_path / "boot.conf"
     path.write_text(FILE)
     holder = Holder(load_settings(path).settings)
-    return path, holder, SettingsFollower(holder, holder, path)
+    return path, holder, SettingsReloader(holder, holder, path)
 
 
-def test_other_seeds_are_taken_without_a_signal(followed):
+def test_other_seeds_are_taken_without_a_signal(reloader_setup):
     """The seeds are exchanged; a host that starts joining knows only the old ones."""
-    path, holder, follower = followed
+    path, holder, reloader = reloader_setup
     path.write_text(FILE.replace("10.2.0.19:8229", "10.9.0.1:8229"))
     os.utime(path, ns=(1, 1))
-    follower.check()
+    reloader.check()
     assert holder.control_client.seeds == ["10.1.0.27:7600", "10.9.0.1:7600"]
     addresses = [str(item) for item in holder.settings.control.addresses]
     assert addresses == holder.control_client.seeds
 
 
-def test_bad_file_changes_nothing(followed):
-    path, holder, follower = followed
+def test_bad_file_changes_nothing(reloader_setup):
+    path, holder, reloader = reloader_setup
     before = holder.settings
     path.write_text("node_name=x\n")
-    follower.reload()
+    reloader.reload()
     assert holder.settings == before
     assert holder.control_client.seeds == []
 
 
-def test_unchanged_file_is_not_read_again(followed):
-    _, holder, follower = followed
-    follower.check()
+def test_unchanged_file_is_not_read_again(reloader_setup):
+    _, holder, reloader = reloader_setup
+    reloader.check()
     assert holder.control_client.seeds == []
