--- a/bitterntiller/components/logs/const.py
+++ b/bitterntiller/components/logs/const.py
@@ -17,7 +17,7 @@
 FLUSH_PERIOD = 0.25
 """Seconds between two writings of what has gathered."""
 
-MOST_WRITTEN = select.PIPE_BUF
+MAX_WRITE_BYTES = select.PIPE_BUF
 """Bytes of one writing, which has whole lines only. A pipe takes as much at once or not
 at all, and whoever reads it by blocks gets the lines whole: of writings of 30 KB each a
 collector was seen to keep 8 KB, which lost two thirds of an owner's lines."""
@@ -27,7 +27,7 @@
 pool would write a thousand and more. Above it only a sample of the requests is told,
 with all of their lines: the same one on all hosts, by a hash of their ids."""
 
-MOST_HALVINGS = 10
+MAX_HALVINGS = 10
 """The least part of the requests that is told, as halvings."""
 
 SAMPLE_SECONDS = 1.0
--- a/bitterntiller/components/logs/coordinator.py
+++ b/bitterntiller/components/logs/coordinator.py
@@ -14,7 +14,7 @@
 from bitterntiller.core.interfaces import Metrics
 
 
-class _Allowance:
+class _TokenBucket:
     """How many more lines of one kind may be written now."""
 
     __slots__ = ("at", "left")
@@ -24,8 +24,8 @@
         self.at = now
 
     def take(self, now: float) -> bool:
-        most = const.LINES_PER_SECOND * const.BURST_SECONDS
-        self.left = min(most, self.left + const.LINES_PER_SECOND * (now - self.at))
+        capacity = const.LINES_PER_SECOND * const.BURST_SECONDS
+        self.left = min(capacity, self.left + const.LINES_PER_SECOND * (now - self.at))
         self.at = now
         if self.left < 1:
             return False
@@ -51,7 +51,7 @@
         self._sequence = 0
         self._lines: deque[bytes] = deque()
         self._bytes = 0
-        self._allowance_by_kind: dict[str, _Allowance] = {}
+        self._bucket_by_kind: dict[str, _TokenBucket] = {}
         self._dropped_by_kind: Counter[str] = Counter()
         self._sample = RequestSample(clock.now())
         os.set_blocking(fd, False)
@@ -59,11 +59,11 @@
     def write(self, kind: str, fields: dict[str, Any]) -> None:
         """Take one event; drop it when there are too many of its kind."""
         request_id = fields.get(const.ATTR_REQUEST)
-        if request_id and not self._sample.takes(request_id):
+        if request_id and not self._sample.includes(request_id):
             self._metrics.count(const.METRIC_LEFT_OUT)
             return
-        room = self._bytes <= const.MAX_BUFFERED_BYTES
-        if not room or not (request_id or self._allows(kind)):
+        has_room = self._bytes <= const.MAX_BUFFERED_BYTES
+        if not has_room or not (request_id or self._allows(kind)):
             self._dropped_by_kind[kind] += 1
             self._metrics.count(const.METRIC_DROPPED)
             return
@@ -71,10 +71,10 @@
 
     def _allows(self, kind: str) -> bool:
         now = self._clock.now()
-        allowance = self._allowance_by_kind.get(kind)
-        if allowance is None:
-            allowance = self._allowance_by_kind[kind] = _Allowance(now)
-        return allowance.take(now)
+        bucket = self._bucket_by_kind.get(kind)
+        if bucket is None:
+            bucket = self._bucket_by_kind[kind] = _TokenBucket(now)
+        return bucket.take(now)
 
     def _append(self, kind: str, fields: dict[str, Any]) -> None:
         self._sequence += 1
@@ -105,7 +105,7 @@
             self._append(const.KIND_DROPPED, {"by_kind": dict(self._dropped_by_kind)})
             self._dropped_by_kind.clear()
         if self._sample.adapt(self._clock.now()):
-            fields = {"part": self._sample.part, "left_out": self._sample.left_out}
+            fields = {"part": self._sample.fraction, "left_out": self._sample.left_out}
             self._append(const.KIND_SAMPLING, fields)
         try:
             while self._lines and self._write_some():
@@ -118,7 +118,7 @@
     def _write_some(self) -> bool:
         """Write some whole lines; False when the reader takes no more now."""
         data = self._lines.popleft()
-        while self._lines and len(data) + len(self._lines[0]) <= const.MOST_WRITTEN:
+        while self._lines and len(data) + len(self._lines[0]) <= const.MAX_WRITE_BYTES:
             data += self._lines.popleft()
         try:
             written = os.write(self._fd, data)
--- a/bitterntiller/components/logs/sample.py
+++ b/bitterntiller/components/logs/sample.py
@@ -18,19 +18,19 @@
     def __init__(self, now: float) -> None:
         self._halvings = 0
         self._offered = 0
-        self._counted_from = now
+        self._counting_since = now
         self.left_out = 0
 
     @property
-    def part(self) -> float:
+    def fraction(self) -> float:
         """Return the part of the requests that is told."""
         return 0.5**self._halvings
 
-    def takes(self, request_id: str) -> bool:
+    def includes(self, request_id: str) -> bool:
         """Count one line about a request; tell whether it is to be written."""
         self._offered += 1
         number = xxhash.xxh3_64_intdigest(request_id.encode("utf-8", "surrogatepass"))
-        taken = number < self.part * _HASHES
+        taken = number < self.fraction * _HASHES
         self.left_out += not taken
         return taken
 
@@ -40,14 +40,17 @@
         The part grows again only where there is room for twice as many lines, so that
         it doesn't change each second.
         """
-        if now - self._counted_from < const.SAMPLE_SECONDS:
+        if now - self._counting_since < const.SAMPLE_SECONDS:
             return False
-        a_second = self._offered / (now - self._counted_from)
-        self._counted_from, self._offered = now, 0
+        lines_per_second = self._offered / (now - self._counting_since)
+        self._counting_since, self._offered = now, 0
         before = self._halvings
-        most = const.REQUEST_LINES_PER_SECOND
-        while a_second * self.part > most and self._halvings < const.MOST_HALVINGS:
+        limit = const.REQUEST_LINES_PER_SECOND
+        while (
+            lines_per_second * self.fraction > limit
+            and self._halvings < const.MAX_HALVINGS
+        ):
             self._halvings += 1
-        while self._halvings and a_second * self.part * 4 <= most:
+        while self._halvings and lines_per_second * self.fraction * 4 <= limit:
             self._halvings -= 1
         return self._halvings != before
--- a/bitterntiller/components/metrics/exposition.py
+++ b/bitterntiller/components/metrics/exposition.py
@@ -7,7 +7,7 @@
 from bitterntiller.components.metrics.models import BOUNDS, Histogram
 
 _UNSAFE = re.compile(r"[^a-zA-Z0-9_]")
-_EVERY = 4
+_BOUND_STEP = 4
 """One of so many bounds is told; each is then about 2.4 times the one before."""
 
 
@@ -28,7 +28,7 @@
 def _histogram(name: str, histogram: Histogram) -> Iterator[str]:
     yield f"# TYPE {name} histogram"
     cumulative = histogram.cumulative()
-    for index in range(_EVERY - 1, len(BOUNDS), _EVERY):
+    for index in range(_BOUND_STEP - 1, len(BOUNDS), _BOUND_STEP):
         yield f'{name}_bucket{{le="{BOUNDS[index]:.6g}"}} {cumulative[index]}'
     yield f'{name}_bucket{{le="+Inf"}} {cumulative[-1]}'
     yield f"{name}_sum {histogram.total:.6f}"
--- a/tests/components/logs/test_writer.py
+++ b/tests/components/logs/test_writer.py
@@ -130,7 +130,7 @@
     return lines
 
 
-def told(pipe, requests: int, seconds: int) -> set[str]:
+def logged_requests(pipe, requests: int, seconds: int) -> set[str]:
     """Return the requests that a host tells which serves so many of them a second."""
     clock = ManualClock()
     writer = LineWriter("bole-1", clock, FakeMetrics(), pipe[1])
@@ -151,9 +151,9 @@
     An owner decides on more requests a second than it may write lines, and each host
     drops other lines.
     """
-    all_of_them = told(pipe, const.REQUEST_LINES_PER_SECOND // 2, 4)
-    many = told(pipe, 4 * const.REQUEST_LINES_PER_SECOND, 4)
-    more = told(pipe, 16 * const.REQUEST_LINES_PER_SECOND, 4)
+    all_of_them = logged_requests(pipe, const.REQUEST_LINES_PER_SECOND // 2, 4)
+    many = logged_requests(pipe, 4 * const.REQUEST_LINES_PER_SECOND, 4)
+    more = logged_requests(pipe, 16 * const.REQUEST_LINES_PER_SECOND, 4)
     assert len(all_of_them) == const.REQUEST_LINES_PER_SECOND // 2
     assert 0.5 <= len(many) / const.REQUEST_LINES_PER_SECOND <= 1.2
     shared = {request for request in more if request in many}
