--- a/tests/cli/builders.py
+++ b/tests/cli/builders.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from bitterntiller.cli.operator_client import Answer
+from bitterntiller.cli.operator_client import OperatorResponse
 from bitterntiller.components.http.buffered import async_serve_buffered
 from bitterntiller.components.http.exchange import Exchange
 from bitterntiller.components.http.server import HttpServer, ServerLimits
@@ -27,7 +27,7 @@
         item = self.script.pop(0)
         if isinstance(item, Exception):
             raise item
-        return Answer(*item)
+        return OperatorResponse(*item)
 
 
 def free_port():
