--- a/bitterntiller/cli/__init__.py
+++ b/bitterntiller/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The two programs: the daemon and the command-line tool."""
+"""Entry points: the daemon bitterntillerd and the command-line tool bitterntiller."""
--- a/bitterntiller/cli/change_sender.py
+++ b/bitterntiller/cli/change_sender.py
@@ -1,4 +1,4 @@
-"""Sends a change of the configuration until its outcome is known."""
+"""Send a configuration change and retry it until its outcome is known."""
 
 import json
 from typing import Any, NamedTuple
@@ -23,7 +23,7 @@
 
 
 class ConfigChange(NamedTuple):
-    """A change to send; the same id and base version at each sending."""
+    """A change to send; each attempt has the same id and base version."""
 
     change_id: str
     base_version: int
@@ -31,7 +31,7 @@
 
 
 class ApplyResult(NamedTuple):
-    """How a change ended; value is the last answer's object."""
+    """How a change ended; value is the JSON object of the last response."""
 
     exit_code: int
     value: dict[str, Any]
@@ -41,10 +41,10 @@
 async def async_apply(
     client: OperatorClient, change: ConfigChange, tries: int, first_pause: float
 ) -> ApplyResult:
-    """Send a change, and again with the same id while its outcome is open.
+    """Send a change and retry it with the same id until its outcome is known.
 
-    The ports are tried in turn. first_pause is in seconds; each pause is twice
-    as long as the one before, up to a bound.
+    Attempts go to the ports in turn. The first pause between attempts is
+    first_pause seconds; each one doubles, up to const.MAX_PAUSE.
     """
     maybe_applied = False
     pause = first_pause
@@ -63,7 +63,7 @@
                 response.status < 500 and not maybe_applied
             ):
                 return ApplyResult(_exit_code(response), response.value, count)
-            # Also after a refusal by one port, an earlier copy may be committed.
+            # An earlier attempt may still be committed, even if this port refuses it.
             maybe_applied = True
             problems = str(response.value.get("text", f"HTTP status {response.status}"))
         if count < tries:
@@ -82,8 +82,8 @@
         (b"idempotency-key", change.change_id.encode()),
         (b"content-type", b"application/json"),
     ]
-    # The outcome of an id is kept with a digest of these bytes, so that they
-    # must come out the same when the command is run again after a lost answer.
+    # Control stores the outcome of an id together with a digest of these bytes. They
+    # must be identical when the command is run again after a lost response.
     body = json.dumps(change.config, separators=(",", ":")).encode()
     return await client.async_call(address, "PUT", PATH_CONFIG, headers, body)
 
--- a/bitterntiller/cli/commands/__init__.py
+++ b/bitterntiller/cli/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands of the tool, one a module."""
+"""The commands of the tool, one per module."""
--- a/bitterntiller/cli/commands/apply.py
+++ b/bitterntiller/cli/commands/apply.py
@@ -1,4 +1,4 @@
-"""bitterntiller apply: puts a configuration in force."""
+"""bitterntiller apply: apply a configuration file."""
 
 import os
 import re
@@ -29,7 +29,7 @@
 
 
 def run(command: "Apply") -> int:
-    """Check the file, send it, and return the exit code."""
+    """Validate the file, send it, and return the exit code."""
     client = make_client(command, dict(os.environ))
     change_id = command.change_id or str(uuid.uuid4())
     if not _CHANGE_ID.fullmatch(change_id):
@@ -46,10 +46,10 @@
 @cappa.command(invoke=run)
 @dataclass
 class Apply(OperatorOptions):
-    """Put a configuration file in force.
+    """Apply a configuration file.
 
-    The change is sent again with its id until its outcome is known. When the
-    command ends without one, run it again with the same --change-id and --base.
+    The change is retried with its id until its outcome is known. When the command
+    ends without an outcome, run it again with the same --change-id and --base.
     """
 
     file: Annotated[Path, cappa.Arg(required=True)] = Path()
@@ -57,13 +57,13 @@
         int | None,
         cappa.Arg(
             long=True,
-            help="Version the change is made against; else the present one.",
+            help="Version that the change is based on; default: the current one.",
         ),
     ] = None
     change_id: Annotated[
-        str | None, cappa.Arg(long=True, help="Id of the change; else a new one.")
+        str | None, cappa.Arg(long=True, help="Id of the change; default: a new one.")
     ] = None
-    tries: Annotated[int, cappa.Arg(long=True, help="Sendings at most.")] = (
+    tries: Annotated[int, cappa.Arg(long=True, help="Maximum number of attempts.")] = (
         const.APPLY_TRIES
     )
 
--- a/bitterntiller/cli/commands/check.py
+++ b/bitterntiller/cli/commands/check.py
@@ -1,4 +1,4 @@
-"""bitterntiller check: finds the problems of files before they are used."""
+"""bitterntiller check: validate settings and configuration files."""
 
 import os
 from dataclasses import dataclass, field
@@ -42,17 +42,19 @@
     """Check settings and configuration files.
 
     With --operator or --upstreams, selectors are also checked against the
-    upstreams that are announced.
+    announced upstreams.
     """
 
     files: Annotated[list[Path], cappa.Arg(required=True)] = field(default_factory=list)
     kind: Annotated[
         Literal["settings", "configuration"] | None,
-        cappa.Arg(long=True, help="What the files are; else told by their keys."),
+        cappa.Arg(
+            long=True, help="Kind of the files; default: detected from their keys."
+        ),
     ] = None
     upstreams: Annotated[
         Path | None,
-        cappa.Arg(long=True, help="File with a dump, or with a list of upstreams."),
+        cappa.Arg(long=True, help="File with a state dump or a list of upstreams."),
     ] = None
 
 
@@ -68,8 +70,8 @@
 async def _async_announced(client: OperatorClient) -> list[LabelledUpstream]:
     """Return the upstreams of all given hosts.
 
-    Each host knows those of the pools that it owns. With one host left out, its
-    upstreams would seem not to exist, so one that fails ends the command.
+    Each host reports the upstreams of the pools that it owns. Without one host its
+    upstreams would seem not to exist, so the command fails if any host fails.
     """
     found = []
     for address in client.addresses:
--- a/bitterntiller/cli/commands/control.py
+++ b/bitterntiller/cli/commands/control.py
@@ -1,4 +1,4 @@
-"""bitterntiller control: shows the replicas of control, and repairs them."""
+"""bitterntiller control: show and replace the replicas of control."""
 
 import os
 from dataclasses import dataclass
@@ -24,7 +24,7 @@
 
 
 def run_repair(command: "Repair") -> int:
-    """Ask for the exchange of a replica and return the exit code."""
+    """Send a repair command until it is done and return the exit code."""
     client = make_client(command, dict(os.environ))
     if not command.remove and not command.add:
         raise UsageError("give --remove, --add, or both")
@@ -41,35 +41,35 @@
 @cappa.command(invoke=run_repair)
 @dataclass
 class Repair(OperatorOptions):
-    """Remove a replica of control, add one, or exchange one for another.
+    """Remove a replica of control, add one, or replace one by another.
 
-    The order is repeated until the full redundancy is back.
+    The command is repeated until full redundancy is restored.
     """
 
     remove: Annotated[
         str, cappa.Arg(long=True, help="Identity of the replica to remove.")
     ] = ""
     add: Annotated[
-        str, cappa.Arg(long=True, help="Name of the host to get a replica.")
+        str, cappa.Arg(long=True, help="Name of the host that gets the new replica.")
     ] = ""
     address: Annotated[
         str, cappa.Arg(long=True, help="Internal IP:port of that host.")
     ] = ""
     tries: Annotated[
-        int, cappa.Arg(long=True, help="Orders at most, one a second.")
+        int, cappa.Arg(long=True, help="Maximum number of attempts, one per second.")
     ] = const.REPAIR_TRIES
 
 
 @cappa.command(invoke=run)
 @dataclass
 class Control(OperatorOptions):
-    """Show term, leader, members, further losses survived and lags."""
+    """Show term, leader, members, their lags and the failure tolerance."""
 
     subcommand: cappa.Subcommands[Repair | None] = None
 
 
 def describe(value: dict[str, Any]) -> str:
-    """Return the state of control for people: the figures first, then the rest."""
+    """Return the state of control as text: the main figures first, then all others."""
     control = dict(value["control"])
     log = dict(control.pop("log", {}))
     losses = log.pop("survives_losses", None)
@@ -88,7 +88,7 @@
 
 
 def _members(members: list[Any] | dict[str, Any]) -> str:
-    """Return a table of members, whether names, or objects by name or in a list."""
+    """Return a table of members given as names, as objects, or as objects by name."""
     if isinstance(members, dict):
         members = [_named(name, item) for name, item in members.items()]
     if not all(isinstance(item, dict) for item in members):
--- a/bitterntiller/cli/commands/crashes.py
+++ b/bitterntiller/cli/commands/crashes.py
@@ -1,4 +1,4 @@
-"""bitterntiller crashes: shows the requests that crash upstreams, and clears one."""
+"""bitterntiller crashes: show requests that crash upstreams, and clear one."""
 
 import json
 import os
@@ -15,7 +15,7 @@
 
 
 def run(command: "Crashes") -> int:
-    """Print the requests with their crashes and return the exit code."""
+    """Print the requests and their crashes and return the exit code."""
     client = make_client(command, dict(os.environ))
     value = curio.run(client.async_get, PATH_CRASHES)
     print_value(value, command.json, describe)
@@ -23,7 +23,7 @@
 
 
 def run_clear(command: "Clear") -> int:
-    """Have the crashes of a request forgotten and return the exit code."""
+    """Clear the recorded crashes of a request and return the exit code."""
     client = make_client(command, dict(os.environ))
     body = json.dumps({"fingerprint": command.fingerprint}).encode()
     value = curio.run(client.async_post, PATH_CRASHES_CLEAR, body)
@@ -34,26 +34,26 @@
 @cappa.command(invoke=run_clear)
 @dataclass
 class Clear(OperatorOptions):
-    """Forget the crashes of a request on all hosts, so that it is sent again."""
+    """Clear the crashes of a request on all hosts, so that it is sent again."""
 
     fingerprint: Annotated[
-        str, cappa.Arg(help="As `crashes` and the log show it, in hexadecimal.")
+        str, cappa.Arg(help="Hexadecimal, as shown by `crashes` and in logs.")
     ] = ""
 
 
 @cappa.command(invoke=run)
 @dataclass
 class Crashes(OperatorOptions):
-    """Show the requests under which upstreams have ended, and their quarantine.
+    """Show the requests that crashed upstreams, and their quarantine.
 
-    Every process knows them all.
+    Every process has the crashes of the whole deployment.
     """
 
     subcommand: cappa.Subcommands[Clear | None] = None
 
 
 def describe(value: dict[str, Any]) -> str:
-    """Return a table with a line for each request, the quarantined ones first."""
+    """Return a table of the requests, longest quarantine first."""
     requests = value.get("requests_by_fingerprint", {})
     if not requests:
         return "no request has crashed an upstream"
--- a/bitterntiller/cli/commands/explain.py
+++ b/bitterntiller/cli/commands/explain.py
@@ -1,4 +1,4 @@
-"""bitterntiller explain: tells from logs what became of a request."""
+"""bitterntiller explain: trace a request through the logs of several hosts."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -30,13 +30,13 @@
 
 
 def _unknown(request_id: str, fraction_by_host: dict[str, float]) -> str:
-    text = f"no line names request {request_id}"
+    text = f"no event has request id {request_id}"
     if not fraction_by_host:
         return text
     parts = ", ".join(
         f"{host} {fraction:g}" for host, fraction in fraction_by_host.items()
     )
-    return f"{text}; some hosts tell only a part of their requests: {parts}"
+    return f"{text}; some hosts log only a fraction of their requests: {parts}"
 
 
 def _format(event: LogEvent, begin: float) -> str:
@@ -48,10 +48,10 @@
 @cappa.command(invoke=run)
 @dataclass
 class Explain:
-    """Join the logs of several hosts and print what became of a request.
+    """Trace a request through the logs of several hosts.
 
-    Lines of the request are marked; the others are what the same hosts came to believe
-    around that time. Times are in seconds from the first line.
+    Events of the request are marked with *; the others are state changes of the same
+    hosts and upstreams around that time. Times are in seconds from the first line.
     """
 
     request_id: Annotated[str, cappa.Arg(help="the id of the request")]
--- a/bitterntiller/cli/commands/get.py
+++ b/bitterntiller/cli/commands/get.py
@@ -1,4 +1,4 @@
-"""bitterntiller get: prints the configuration that is in force."""
+"""bitterntiller get: print the current configuration."""
 
 import os
 from dataclasses import dataclass
@@ -29,6 +29,6 @@
 class Get(OperatorOptions):
     """Print the newest accepted configuration.
 
-    The document goes to standard output, fit for apply, and its version to
-    standard error; with --json both are in one object.
+    The document goes to standard output, in the form that apply reads, and its version
+    to standard error; with --json both are in one object.
     """
--- a/bitterntiller/cli/commands/rollouts.py
+++ b/bitterntiller/cli/commands/rollouts.py
@@ -1,4 +1,4 @@
-"""bitterntiller rollouts: shows the rollouts of services, and starts one."""
+"""bitterntiller rollouts: show the rollouts of services, and start one."""
 
 import json
 import os
@@ -23,7 +23,7 @@
 
 
 def run_start(command: "Start") -> int:
-    """Order a rollout and return the exit code."""
+    """Start a rollout and return the exit code."""
     client = make_client(command, dict(os.environ))
     order = {
         "service": command.service,
@@ -39,28 +39,28 @@
 @cappa.command(invoke=run_start)
 @dataclass
 class Start(OperatorOptions):
-    """Move a service to upstreams of another version, if they prove as good.
+    """Move a service to upstreams of another version, if they perform as well.
 
-    The same order may be sent again; it starts no second rollout.
+    The command is idempotent: the same one starts no second rollout.
     """
 
-    service: Annotated[str, cappa.Arg(help="Whose requests are to move.")] = ""
+    service: Annotated[str, cappa.Arg(help="The service whose requests move.")] = ""
     to: Annotated[str, cappa.Arg(help="The version, as upstreams announce it.")] = ""
     seconds: Annotated[
-        float, cappa.Arg(long=True, help="Within which it is judged and completed.")
+        float, cappa.Arg(long=True, help="Time limit for evaluation and completion.")
     ] = 60.0
 
 
 @cappa.command(invoke=run)
 @dataclass
 class Rollouts(OperatorOptions):
-    """Show the last rollout of each service: exposure, evidence, verdict and why."""
+    """Show the last rollout of each service: exposure, evidence, verdict, reason."""
 
     subcommand: cappa.Subcommands[Start | None] = None
 
 
 def describe(value: dict[str, Any]) -> str:
-    """Return a table with a line for each rollout, and one for each of its routes."""
+    """Return a table of the rollouts, and one of their evidence by route."""
     rollouts = value.get("rollouts_by_service", {})
     if not rollouts:
         return "no rollout was ordered"
@@ -101,5 +101,5 @@
 
 
 def describe_order(value: dict[str, Any]) -> str:
-    """Return a line on an order that was accepted."""
+    """Return one line about an accepted rollout."""
     return f"rollout {value['number']} to {value['to']}: {value['phase']}"
--- a/bitterntiller/cli/commands/state.py
+++ b/bitterntiller/cli/commands/state.py
@@ -1,4 +1,4 @@
-"""bitterntiller state: prints the dump of a process."""
+"""bitterntiller state: print the state dump of a process."""
 
 import os
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 
 def run(command: "State") -> int:
-    """Print the dump and return the exit code."""
+    """Print the state dump and return the exit code."""
     client = make_client(command, dict(os.environ))
     value = curio.run(client.async_get, PATH_STATE)
     print_value(value, command.json, format_tree)
@@ -23,4 +23,4 @@
 @cappa.command(invoke=run)
 @dataclass
 class State(OperatorOptions):
-    """Print the state of the first process that answers."""
+    """Print the state dump of the first process that responds."""
--- a/bitterntiller/cli/commands/summary.py
+++ b/bitterntiller/cli/commands/summary.py
@@ -1,4 +1,4 @@
-"""bitterntiller summary: tells from logs where requests were not served, and why."""
+"""bitterntiller summary: summarize from logs which requests failed, and why."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -11,17 +11,17 @@
 from bitterntiller.cli.request_trace import open_logs
 
 DEFAULT_SPAN = 2.0
-"""Seconds; short enough that the loss of a host or of power shows as a span."""
+"""Seconds; short enough that a host failure or power loss fills an interval."""
 
 
 def run(command: "Summarize") -> int:
     """Print the summary of logs and return the exit code."""
     if command.span <= 0:
-        raise ToolError("--span: expected seconds above 0")
+        raise ToolError("--span: expected more than 0 seconds")
     with open_logs(command.files) as events:
         summary = summarize(events, command.span)
     if summary is None:
-        raise ToolError("no line of ours in these files")
+        raise ToolError("no log events in these files")
     _print(summary)
     return const.EXIT_OK
 
@@ -31,7 +31,9 @@
     for span in summary.spans:
         ends = sorted(span.count_by_end.items(), key=lambda item: -item[1])
         print(f"{span.begin:7.1f}  " + ", ".join(f"{n} {end}" for end, n in ends))
-    print("\nrefused  reason, service, tier: longest and mean wait, mean told time, s")
+    print(
+        "\nrefused  reason, service, tier: longest and mean wait, mean Retry-After, s"
+    )
     for reason, refused in summary.refusals_by_reason.items():
         times = f"{refused.max_wait:.2f} {refused.mean_wait:.2f}"
         where = f"{reason.reason} {reason.service} {reason.tier}"
@@ -39,14 +41,15 @@
     print("\nnot done  by upstream")
     for upstream, count in summary.failures_by_upstream.items():
         print(f"{count:8}  {upstream}")
-    print("\nasked, served  service, part of its requests")
+    print("\nreceived, served  service, group of its requests")
     for group, served in summary.served_by_group.items():
-        print(f"{served.received:5}  {served.served:6}  {group.service} {group.group}")
+        print(f"{served.received:8}  {served.served:6}  {group.service} {group.group}")
     print(
-        "\nasked, refused, return kept  quota of, counted by: longest wait, least left"
+        "\nreceived, refused, retry reserved  "
+        "workspace, counting host: longest wait, smallest fraction left"
     )
     for use in summary.quotas:
-        counts = f"{use.received:5}  {use.refused:7}  {use.kept:11}"
+        counts = f"{use.received:8}  {use.refused:7}  {use.retries_reserved:14}"
         least = f"{use.max_wait:.2f} s, {use.min_fraction_left:.2f}"
         print(f"{counts}  {use.workspace} {use.counting_host}: {least}")
     if summary.fraction_by_host:
@@ -54,8 +57,8 @@
             f"{host} {fraction:g}"
             for host, fraction in summary.fraction_by_host.items()
         ]
-        print(f"\nhosts that tell a part of their requests: {', '.join(parts)}")
-    print("\nupstreams that are given no work at the end: seconds, by whom, why")
+        print(f"\nhosts that log only a fraction of their requests: {', '.join(parts)}")
+    print("\nupstreams not in use at the end: seconds, owner, change")
     for unused in summary.unused_upstreams:
         print(f"{unused.when:7.1f}  {unused.owner} {unused.upstream} {unused.change}")
     print("\nseconds from the last start of a host: " + ", ".join(STARTUP_STEPS[1:]))
@@ -73,17 +76,17 @@
 @cappa.command(invoke=run, name="summary")
 @dataclass
 class Summarize:
-    """Sum the logs of several hosts up.
+    """Summarize the logs of several hosts.
 
-    How requests ended by spans of time, refusals by reason with how long those had
-    waited, failures by upstream, what was served of each service by size and route,
-    what was decided at the quotas of workspaces, upstreams that owners had stopped
-    using, and the steps of each host since its last start.
+    Shows how requests ended by interval, refusals by reason with their waits, failures
+    by upstream, requests received and served of each service by size and route, quota
+    decisions by workspace, upstreams out of use, and the startup steps of each host
+    since its last start.
     """
 
     files: Annotated[
         list[str], cappa.Arg(num_args=-1, help="logs of hosts; - for standard input")
     ]
-    span: Annotated[float, cappa.Arg(long=True, help="seconds of a span")] = (
+    span: Annotated[float, cappa.Arg(long=True, help="seconds of an interval")] = (
         DEFAULT_SPAN
     )
--- a/bitterntiller/cli/const.py
+++ b/bitterntiller/cli/const.py
@@ -1,4 +1,7 @@
-"""Exit codes and bounds of the command-line tool."""
+"""Exit codes, environment variables, timeouts and retry limits of the tool.
+
+Timeouts and pauses are in seconds.
+"""
 
 EXIT_OK = 0
 EXIT_USAGE = 2
--- a/bitterntiller/cli/daemon.py
+++ b/bitterntiller/cli/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: bitterntillerd --settings FILE."""
+"""Entry point of the daemon: bitterntillerd --settings FILE."""
 
 import sys
 from dataclasses import dataclass
@@ -25,7 +25,7 @@
 
 
 def main() -> None:
-    """Run the daemon; exit with a documented code."""
+    """Load the settings and run the daemon until it stops; exit with its code."""
     arguments = cappa.parse(Arguments)
     try:
         settings = load_settings(arguments.settings)
--- a/bitterntiller/cli/errors.py
+++ b/bitterntiller/cli/errors.py
@@ -1,4 +1,4 @@
-"""Errors that end a command; each has its exit code."""
+"""Errors that end a command, each with its exit code."""
 
 from bitterntiller.cli import const
 from bitterntiller.core.errors import CodedError
@@ -12,21 +12,21 @@
 
 
 class UsageError(ToolError):
-    """Raised for arguments that can't be used."""
+    """Raised for invalid arguments or input files."""
 
     code = "usage"
     exit_code = const.EXIT_USAGE
 
 
 class UnreachableError(ToolError):
-    """Raised when no operator port gave an answer that can be used."""
+    """Raised when no operator port gave a usable response."""
 
     code = "unreachable"
     exit_code = const.EXIT_UNREACHABLE
 
 
 class UnauthorizedError(ToolError):
-    """Raised when the operator key is wrong."""
+    """Raised when an operator port rejects the operator key."""
 
     code = "unauthorized"
     exit_code = const.EXIT_UNAUTHORIZED
--- a/bitterntiller/cli/file_checks.py
+++ b/bitterntiller/cli/file_checks.py
@@ -1,4 +1,4 @@
-"""Checks of settings and configuration files."""
+"""Validate settings and configuration files."""
 
 import json
 from collections.abc import Iterable
@@ -60,7 +60,7 @@
 
 
 class CheckResult(NamedTuple):
-    """What was found in one file."""
+    """The problems and notes of one file."""
 
     file: str
     kind: str
@@ -71,7 +71,7 @@
 def check_file(
     path: Path, kind: str | None, upstreams: list[LabelledUpstream] | None
 ) -> CheckResult:
-    """Check a file of a kind, which is told by the content when None."""
+    """Validate a file; when kind is None, detect it from the content."""
     try:
         document = read_document(path)
     except DocumentError as error:
@@ -82,12 +82,14 @@
         return CheckResult(str(path), kind, problems, [])
     if kind == KIND_CONFIGURATION:
         return _check_configuration(document, upstreams)
-    problem = Problem((), "neither settings nor a configuration by its keys")
+    problem = Problem(
+        (), "the keys are neither those of settings nor of a configuration"
+    )
     return CheckResult(str(path), KIND_UNKNOWN, [document.locate(problem)], [])
 
 
 def detect_kind(value: Any) -> str:
-    """Tell a configuration from settings by the keys at the top level."""
+    """Return whether the top-level keys are those of a configuration or of settings."""
     keys = value.keys() if isinstance(value, dict) else set()
     if keys & _CONFIGURATION_KEYS:
         return KIND_CONFIGURATION
@@ -130,7 +132,10 @@
 
 
 def read_upstreams(path: Path) -> list[LabelledUpstream]:
-    """Read upstreams from a JSON list or a dump; raise UsageError."""
+    """Read upstreams from a file with a JSON list or a state dump.
+
+    Raise UsageError when it can't be read.
+    """
     try:
         value = json.loads(path.read_bytes())
     except (OSError, ValueError, RecursionError) as error:
@@ -139,7 +144,10 @@
 
 
 def to_upstreams(value: Any, source: str) -> list[LabelledUpstream]:
-    """Return the upstreams of a JSON list or a dump; raise UsageError."""
+    """Return the upstreams of a JSON list or a state dump.
+
+    Raise UsageError when the value has another shape.
+    """
     if isinstance(value, dict):
         value = value.get("upstreams")
     items, problems = find_problems(_UPSTREAMS_SCHEMA, value)
--- a/bitterntiller/cli/log_summary.py
+++ b/bitterntiller/cli/log_summary.py
@@ -1,4 +1,4 @@
-"""Sums log lines up: what became of the requests, when, and for which reason."""
+"""Summarize logs: how requests ended, when, and why they were refused."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -20,11 +20,11 @@
     "owner-answers",
     "sent",
 )
-"""Events that lead from the start of hosts to the first request that is sent."""
+"""Events from the start of a host to its first request to an upstream, in order."""
 
 
 class RefusalReason(NamedTuple):
-    """Why requests of a service and tier were not served."""
+    """A reason for refusals, with the service and tier that it applied to."""
 
     reason: str
     service: str
@@ -32,7 +32,7 @@
 
 
 class RefusalStats(NamedTuple):
-    """Requests that were refused for one reason; waited and told are in seconds."""
+    """Requests refused for one reason; waits and Retry-After are in seconds."""
 
     count: int
     max_wait: float
@@ -41,21 +41,24 @@
 
 
 class Span(NamedTuple):
-    """A span of time: its beginning in seconds, and how many requests ended how."""
+    """An interval: its begin in seconds from the first event, and requests by end."""
 
     begin: float
     count_by_end: dict[str, int]
 
 
 class HostStart(NamedTuple):
-    """After how many seconds from its last start a host came to each step."""
+    """Seconds from the last start of a host to each startup step."""
 
     host: str
     seconds_by_step: dict[str, float]
 
 
 class UnusedUpstream(NamedTuple):
-    """An upstream that an owner has stopped using: why, and when, in seconds."""
+    """An upstream that an owner stopped using, with the change that caused it.
+
+    when is in seconds from the first event.
+    """
 
     owner: str
     upstream: str
@@ -64,7 +67,7 @@
 
 
 class Summary(NamedTuple):
-    """What the logs of several hosts tell of all requests."""
+    """Summary of all requests in the logs of several hosts."""
 
     spans: list[Span]
     refusals_by_reason: dict[RefusalReason, RefusalStats]
@@ -77,7 +80,7 @@
 
 
 def summarize(events: Iterable[LogEvent], seconds: float) -> Summary | None:
-    """Return the summary of lines, by spans of so many seconds; None for no lines."""
+    """Summarize events in intervals of so many seconds; None without any event."""
     ordered = sorted(events, key=lambda event: event.time)
     if not ordered:
         return None
@@ -141,10 +144,11 @@
 
 
 def _unused_upstreams(events: list[LogEvent]) -> list[UnusedUpstream]:
-    """Return what owners had stopped using when the lines end.
+    """Return the upstreams that were out of use when the logs end, by owner.
 
-    Any host may own a pool, for those that turn to it; each one tells its own belief,
-    and knows nothing after a start.
+    Any host may own a pool for the hosts that address it as owner. Each owner logs its
+    own view of an upstream and starts without one, so a start discards earlier events
+    of that host.
     """
     begin = events[0].time
     last_changes: dict[tuple[str, str], UnusedUpstream] = {}
--- a/bitterntiller/cli/operator_client.py
+++ b/bitterntiller/cli/operator_client.py
@@ -1,4 +1,4 @@
-"""Calls to the operator ports of one deployment."""
+"""Client of the operator ports of one deployment."""
 
 import json
 from typing import Any, NamedTuple
@@ -14,14 +14,14 @@
 
 
 class OperatorResponse(NamedTuple):
-    """An answer of an operator port: its HTTP status and JSON object."""
+    """Response of an operator port: HTTP status and JSON object."""
 
     status: int
     value: dict[str, Any]
 
 
 class OperatorClient:
-    """Knows the addresses of operator ports, and the key to them."""
+    """Calls the operator ports with the operator key."""
 
     def __init__(self, addresses: list[str], key: bytes) -> None:
         self.addresses = addresses
@@ -35,11 +35,10 @@
         headers: Headers | None = None,
         body: bytes = b"",
     ) -> OperatorResponse:
-        """Call one port.
+        """Send a request to one port.
 
-        Raise ConnectRefusedError when nothing can have been sent, and
-        BrokenAnswerError when the request may have been carried out though no
-        whole answer came.
+        Raise ConnectRefusedError when nothing was sent, and BrokenAnswerError when
+        the request may have been executed but no complete response arrived.
         """
         lines = [
             (b"host", address.encode()),
@@ -52,17 +51,18 @@
         return OperatorResponse(response.status, _json_object(response.body))
 
     async def async_get(self, path: str) -> dict[str, Any]:
-        """Return what the first port that can answer gives.
+        """Return the object from the first available port.
 
-        Raise UnreachableError, UnauthorizedError, or ToolError for an answer
-        that refuses.
+        Raise UnreachableError when no port is available, UnauthorizedError for a
+        rejected key, and ToolError for any other refusal.
         """
         return await self._async_first("GET", path)
 
     async def async_post(self, path: str, body: bytes) -> dict[str, Any]:
-        """Have the first port that can answer carry out what may be repeated.
+        """Post to the first available port.
 
-        Raise what async_get raises.
+        A port that breaks off may have executed the request before the next port
+        gets it, so the operation must be idempotent. Raise as async_get does.
         """
         return await self._async_first("POST", path, body)
 
@@ -83,7 +83,7 @@
 
 
 def check_response(response: OperatorResponse) -> dict[str, Any]:
-    """Return the object of a good answer; raise a ToolError for another."""
+    """Return the object of a successful response; raise a ToolError otherwise."""
     text = str(response.value.get("text", f"HTTP status {response.status}"))
     if response.status == HTTP_UNAUTHORIZED:
         raise UnauthorizedError(text)
--- a/bitterntiller/cli/options.py
+++ b/bitterntiller/cli/options.py
@@ -1,4 +1,4 @@
-"""The options that commands share."""
+"""Command-line options shared by several commands."""
 
 import re
 from dataclasses import dataclass, field
@@ -35,7 +35,7 @@
 
 @dataclass
 class OperatorOptions:
-    """Where the operator ports are, and how results are shown."""
+    """Options for the operator ports and the output format."""
 
     operator: Operator = field(default_factory=list)
     key_file: KeyFile = None
@@ -45,7 +45,10 @@
 def make_client(
     options: OperatorOptions, environment: dict[str, str]
 ) -> OperatorClient:
-    """Return a client of the operator ports; raise UsageError."""
+    """Return a client of the operator ports given by options or environment.
+
+    Raise UsageError when an address or the key is missing or invalid.
+    """
     text = environment.get(const.ENV_OPERATOR, "")
     addresses = options.operator or [part for part in text.split(",") if part]
     if not addresses:
@@ -67,5 +70,5 @@
     except OSError as error:
         raise UsageError(f"{path}: {error.strerror}") from error
     if not _KEY.fullmatch(key):
-        raise UsageError(f"{path}: a key is one line of ASCII without spaces")
+        raise UsageError(f"{path}: a key is one line of visible ASCII without spaces")
     return key
--- a/bitterntiller/cli/output.py
+++ b/bitterntiller/cli/output.py
@@ -1,4 +1,4 @@
-"""What the tool prints: JSON, tables, and trees of values."""
+"""Format output as JSON, tables and indented trees."""
 
 import json
 import sys
@@ -12,7 +12,7 @@
 
 
 def print_value(value: Any, as_json: bool, describe: Callable[[Any], str]) -> None:
-    """Print a value as JSON, or as the text that describe makes of it."""
+    """Print a value as JSON, or as text formatted by describe."""
     if as_json:
         print_json(value)
     else:
@@ -25,7 +25,7 @@
 
 
 def format_table(head: Sequence[str], rows: Sequence[Sequence[Any]]) -> str:
-    """Return rows under their heads, in columns as wide as needed."""
+    """Return a table with a header row; columns are as wide as their longest cell."""
     lines = [tuple(head), *(tuple(map(_format_scalar, row)) for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     return "\n".join(_join(line, widths) for line in lines)
@@ -45,7 +45,7 @@
 
 
 def format_tree(value: Any, indent: str = "") -> str:
-    """Return a JSON value as an indented tree, one scalar a line."""
+    """Return a JSON value as an indented tree, one scalar per line."""
     return "\n".join(_tree_lines(value, indent))
 
 
--- a/bitterntiller/cli/quota_summary.py
+++ b/bitterntiller/cli/quota_summary.py
@@ -1,4 +1,4 @@
-"""Sums up what hosts that count quotas have decided, by workspace."""
+"""Summarize the quota decisions of counting hosts by workspace."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -6,27 +6,28 @@
 from bitterntiller.cli.request_trace import LogEvent
 
 QUOTA_EVENT = "quota"
-"""The event of one decision at a quota."""
+"""The event that a counting host logs for each quota decision."""
 
 
 class QuotaDecisions(NamedTuple):
-    """The decisions on one workspace's requests at one counting host.
+    """Decisions of one counting host on the requests of one workspace.
 
-    kept counts the refused for whose return room was kept; longest_wait is in seconds,
-    least_left the least that was left of the window, in parts of it.
+    retries_reserved is the number of refused requests with quota reserved for their
+    retry, max_wait is in seconds, and min_fraction_left is the smallest fraction of
+    the window's quota that was left at a decision.
     """
 
     counting_host: str
     workspace: str
     received: int
     refused: int
-    kept: int
+    retries_reserved: int
     max_wait: float
     min_fraction_left: float
 
 
 def summarize_quotas(events: Iterable[LogEvent]) -> list[QuotaDecisions]:
-    """Return the decisions by counting host and workspace, the most refused first."""
+    """Return the decisions by counting host and workspace, most refusals first."""
     found: dict[tuple[str, str], list[LogEvent]] = {}
     for event in events:
         if event.kind == QUOTA_EVENT:
@@ -46,7 +47,7 @@
         workspace=workspace,
         received=len(fields),
         refused=len(refused),
-        kept=sum(bool(item.get("retry_reserved")) for item in refused),
+        retries_reserved=sum(bool(item.get("retry_reserved")) for item in refused),
         max_wait=max(float(item.get("waited") or 0.0) for item in fields),
         min_fraction_left=min(
             float(item.get("left") or 0) / max(1.0, float(item.get("of") or 1))
--- a/bitterntiller/cli/repair_sender.py
+++ b/bitterntiller/cli/repair_sender.py
@@ -1,4 +1,4 @@
-"""Repeats the order to exchange a replica until it is carried out."""
+"""Send the command to replace a replica and repeat it until the repair is done."""
 
 import json
 from typing import Any, NamedTuple
@@ -24,7 +24,7 @@
 
 
 class RepairResult(NamedTuple):
-    """How a repair stands; value is the last answer's object."""
+    """Status of a repair; value is the JSON object of the last informative response."""
 
     exit_code: int
     value: dict[str, Any]
@@ -33,11 +33,11 @@
 async def async_repair(
     client: OperatorClient, repair: dict[str, str], tries: int, pause: float
 ) -> RepairResult:
-    """Send an order until it is done, at most tries times, pause seconds apart.
+    """Send a repair command until it is done, at most tries times, pause seconds apart.
 
-    The leader keeps orders in memory only: were the order sent once, the next
-    leader would not know of it. Repeating does no harm, since the order names
-    the replica. Raise a ToolError when it is refused.
+    The leader keeps the command in memory only, so a new leader does not have it until
+    it is sent again. Repeating it is safe because it names the replica. Raise a
+    ToolError when the command is refused.
     """
     body = json.dumps(repair).encode()
     result = RepairResult(const.EXIT_UNREACHABLE, {"status": STATUS_UNAVAILABLE})
@@ -76,7 +76,10 @@
 def _without_response(
     previous: RepairResult, code: int, value: dict[str, Any]
 ) -> RepairResult:
-    """Return what is known without an answer: never less than before."""
+    """Return the result after an attempt without a status of the repair.
+
+    An earlier attempt that reached a port says more than this one and is kept.
+    """
     if previous.exit_code == const.EXIT_UNREACHABLE:
         return RepairResult(code, value)
     return previous
--- a/bitterntiller/cli/request_trace.py
+++ b/bitterntiller/cli/request_trace.py
@@ -1,4 +1,4 @@
-"""Joins the log lines of several hosts into the trace of one request."""
+"""Build the trace of one request from the logs of several hosts."""
 
 import fileinput
 import json
@@ -16,7 +16,7 @@
 ATTR_SEQUENCE = "n"
 
 CONTEXT_SECONDS = 3.0
-"""Seconds around a request in which what a host came to believe is told with it."""
+"""Context events up to this many seconds before and after a request are shown."""
 
 CONTEXT_EVENTS = frozenset(
     {
@@ -43,14 +43,14 @@
         "sampling",
     }
 )
-"""Events that name no request and may still explain one."""
+"""Events without a request id that may explain what happened to a request."""
 
 _FINGERPRINT = re.compile(r"fingerprint ([0-9a-f]{16})")
 _NON_FIELDS = frozenset({ATTR_EVENT, ATTR_HOST, ATTR_REQUEST, ATTR_TIME, ATTR_SEQUENCE})
 
 
 class LogEvent(NamedTuple):
-    """One event of a log; fields are those beside time, host and event."""
+    """One event of a log; fields holds all keys that have no attribute here."""
 
     time: float
     host: str
@@ -60,7 +60,7 @@
 
 
 class RequestTrace(NamedTuple):
-    """What the logs tell of a request, in the order of time, and how it ended."""
+    """Events about a request in order of time, and the cause of its end."""
 
     events: list[LogEvent]
     cause: str
@@ -68,7 +68,10 @@
 
 @contextmanager
 def open_logs(files: list[str]) -> Iterator[Iterator[LogEvent]]:
-    """Open files of logs, - for standard input, for their lines; raise ToolError."""
+    """Open log files, with - for standard input, and yield their events.
+
+    Raise ToolError when a file can't be read.
+    """
     try:
         with fileinput.input(files, encoding="utf-8", errors="replace") as texts:
             yield read_events(texts)
@@ -77,9 +80,9 @@
 
 
 def read_events(texts: Iterable[str]) -> Iterator[LogEvent]:
-    """Yield the events among lines of text; others are passed over.
+    """Yield the events in lines of text; skip lines that are no events.
 
-    Whatever collects the logs may put something before each line.
+    Log collectors may prefix each line, so an event begins at the first brace.
     """
     for text in texts:
         start = text.find("{")
@@ -104,7 +107,7 @@
 
 
 def trace_request(events: Iterable[LogEvent], request_id: str) -> RequestTrace | None:
-    """Return the trace of a request, None when no line names it."""
+    """Return the trace of a request, None when no event has its id."""
     kept = list(events)
     own_events = [event for event in kept if event.request == request_id]
     if not own_events:
@@ -124,15 +127,18 @@
     cause = _explain_end(sorted(own_events, key=lambda event: event.time), context)
     if crashes:
         ended = ", ".join(str(event.fields.get("upstream")) for event in crashes)
-        cause = f"{cause}; upstreams that ended under copies of it: {ended}"
+        cause = f"{cause}; upstreams that crashed on copies of it: {ended}"
     return RequestTrace(events, cause)
 
 
 def _crash_events(events: list[LogEvent], own_events: list[LogEvent]) -> list[LogEvent]:
-    """Return one line for each upstream that ended under a copy of a request."""
+    """Return the first crash event of each upstream that crashed on this request.
+
+    Requests with the same fingerprint count as copies of it.
+    """
     fingerprints = {event.fields.get("fingerprint") for event in own_events} - {None}
     for event in own_events:
-        # A copy that was refused names it in the text that its caller got.
+        # The event of a refused copy has its fingerprint only in the error text.
         fingerprints.update(_FINGERPRINT.findall(str(event.fields.get("detail"))))
     found: dict[str, LogEvent] = {}
     for event in sorted(events, key=lambda event: event.time):
@@ -151,7 +157,7 @@
 
 
 def _explain_end(own_events: list[LogEvent], context: list[LogEvent]) -> str:
-    """Return in one sentence what the last decision on the request rests on."""
+    """Return one sentence that explains how the request ended."""
     last = own_events[-1]
     if last.kind == "refused":
         return _explain_refusal(last, own_events, context)
@@ -160,10 +166,10 @@
         return _explain_served(last, own_events, failures)
     if last.kind == "ended":
         text = f"ended as {last.fields.get('outcome')} at {last.fields.get('upstream')}"
-        answers = [event for event in own_events if event.kind == "answer"]
-        if not answers:
-            return f"{text}: no answer came from the upstream"
-        return f"{text}: its answer had status {answers[-1].fields.get('status')}"
+        responses = [event for event in own_events if event.kind == "answer"]
+        if not responses:
+            return f"{text}: the upstream sent no response"
+        return f"{text}: its response status was {responses[-1].fields.get('status')}"
     return f"the logs end with {last.kind}: the process may have ended"
 
 
@@ -184,25 +190,25 @@
     text = f"{text}, after {fields.get('waited')} s of waiting"
     given_up = [item for item in own_events if item.kind == "given-up"]
     if given_up and given_up[-1].fields.get("upstreams") == 0:
-        return f"{text}; its owner knew no upstream for it"
+        return f"{text}; its owner had no upstream for it"
     return text
 
 
 def _explain_quota(event: LogEvent) -> str:
-    """Return what the host that counts quotas decided by."""
+    """Return the figures behind a decision of the counting host."""
     fields = event.fields
-    kept = "kept" if fields.get("retry_reserved") else "not kept"
+    reserved = "reserved" if fields.get("retry_reserved") else "not reserved"
     return (
-        f"{event.host} counted {fields.get('level')} to be used and "
+        f"{event.host} counted {fields.get('level')} available and "
         f"{fields.get('left')} of {fields.get('of')} left in the window for "
         f"{fields.get('workspace')}, "
-        f"{fields.get('amount')} asked for and {fields.get('ahead')} before it in the "
-        f"line; room is {kept} for it in {fields.get('retry_after')} s"
+        f"{fields.get('amount')} requested and {fields.get('ahead')} queued before it; "
+        f"quota is {reserved} for a retry in {fields.get('retry_after')} s"
     )
 
 
 def sample_fractions(events: Iterable[LogEvent]) -> dict[str, float]:
-    """Return the hosts that tell only a part of their requests, and the part."""
+    """Return the log sampling fraction of hosts that log only some requests."""
     last = {
         event.host: float(event.fields.get("part", 1.0))
         for event in sorted(events, key=lambda event: event.time)
@@ -219,5 +225,5 @@
     text = f"served after {last.fields.get('total')} s, {waited} s of it waiting"
     if failures:
         reasons = ", ".join(str(event.fields.get("reason")) for event in failures)
-        text = f"{text}; sent again after: {reasons}"
+        text = f"{text}; retried after: {reasons}"
     return text
--- a/bitterntiller/cli/served_counts.py
+++ b/bitterntiller/cli/served_counts.py
@@ -1,4 +1,4 @@
-"""Which part of the requests was served, by service, size and route."""
+"""Count received and served requests by service, size and route."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -6,29 +6,30 @@
 from bitterntiller.cli.request_trace import LogEvent
 
 LARGEST_FRACTION = 0.1
-"""The part of a service's requests, by their tokens, that counts as its largest."""
+"""Fraction of a service's requests, by token count, that count as its largest."""
 
 _ENDS = ("ended", "refused")
 
 
 class RequestGroup(NamedTuple):
-    """Requests of a service: those of a route, the largest ones, or all of them."""
+    """Requests of a service: all of them, the largest ones, or those of one route."""
 
     service: str
     group: str
 
 
 class ServedCount(NamedTuple):
-    """How many requests asked, and how many of them were served."""
+    """Number of requests received, and of those served."""
 
     received: int
     served: int
 
 
 def served_by_group(events: Iterable[LogEvent]) -> dict[RequestGroup, ServedCount]:
-    """Return what was served of each service, its largest requests and its routes.
+    """Count requests for each service, its largest requests and its routes.
 
-    Lines that don't name a service, of requests whose head was refused, are left out.
+    Events without a service belong to requests whose head was refused; they are
+    ignored.
     """
     by_service: dict[str, list[LogEvent]] = {}
     for event in events:
--- a/bitterntiller/cli/tool.py
+++ b/bitterntiller/cli/tool.py
@@ -1,4 +1,4 @@
-"""The command-line tool, bitterntiller."""
+"""Entry point of the command-line tool, bitterntiller."""
 
 import os
 import sys
@@ -23,7 +23,7 @@
 @cappa.command(name="bitterntiller")
 @dataclass
 class Tool:
-    """Check, change and look at a bitterntiller deployment."""
+    """Check, change and inspect a bitterntiller deployment."""
 
     command: cappa.Subcommands[
         Check | Apply | Get | State | Control | Rollouts | Crashes | Explain | Summarize
@@ -36,12 +36,12 @@
 
 
 def run(arguments: list[str] | None = None) -> int:
-    """Run the tool and return its exit code; wrong usage exits by itself."""
+    """Run the tool and return its exit code; cappa exits on invalid arguments."""
     try:
         return cappa.invoke(Tool, argv=arguments)
     except BrokenPipeError:
-        # Whoever reads the output has seen enough, as head does. Without this,
-        # Python would complain again while it closes standard output.
+        # The reader closed the pipe, as head does. Standard output is redirected
+        # because Python would report the error again when it flushes it at exit.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return const.EXIT_OK
     except ToolError as error:
--- a/tests/cli/builders.py
+++ b/tests/cli/builders.py
@@ -1,4 +1,4 @@
-"""Fakes of operator ports: scripted answers, and a served port in a thread."""
+"""Fakes of operator ports: scripted responses, and a port served in a thread."""
 
 import contextlib
 import socket
@@ -15,7 +15,7 @@
 
 
 class ScriptedClient:
-    """Answers the calls in turn; an exception in the script is raised."""
+    """Returns scripted responses in order; exceptions in the script are raised."""
 
     def __init__(self, *script, addresses=("a:1", "b:1")):
         self.addresses = list(addresses)
@@ -38,7 +38,7 @@
 
 @contextlib.contextmanager
 def served_port(handler, metrics):
-    """Serve a RequestHandler in a thread; give its address as IP:port."""
+    """Serve a RequestHandler in a thread; yield its address as IP:port."""
     address = Address("127.0.0.1", free_port())
     stop = curio.UniversalEvent()
 
--- a/tests/cli/conftest.py
+++ b/tests/cli/conftest.py
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def tool(tmp_path, monkeypatch, capsys):
-    """Run the tool in a folder with a configuration file and a key."""
+    """Return a function that runs the tool beside a configuration and a key file."""
     monkeypatch.chdir(tmp_path)
     monkeypatch.delenv(const.ENV_OPERATOR, raising=False)
     monkeypatch.setenv(const.ENV_KEY_FILE, "operator.key")
--- a/tests/cli/test_change_sender.py
+++ b/tests/cli/test_change_sender.py
@@ -23,12 +23,11 @@
     return client, curio.run(async_apply, client, CHANGE, len(script), 0.0)
 
 
-def test_change_is_resent_with_its_id_after_a_lost_answer():
-    """The port dies after it passed the change on.
+def test_change_is_resent_with_its_id_after_a_lost_response():
+    """A host fails after it forwarded the change to control.
 
-    An operator would see an error, make the change again under a new id, and
-    hear conflict though his own change is in force. The tool sends the same
-    bytes with the same id to the next port and hears the first outcome.
+    Sent again under a new id, the change would conflict with its own first copy. The
+    tool sends the same bytes and id to the next port, which returns the first outcome.
     """
     client, result = apply(LOST, UNKNOWN, REFUSED, ACCEPTED)
     assert (result.exit_code, result.tries) == (const.EXIT_OK, 4)
@@ -57,7 +56,7 @@
         ([LOST, CONFLICT], const.EXIT_CONFLICT),
     ],
 )
-def test_exit_code_tells_what_is_known(script, code):
+def test_exit_code_says_whether_the_outcome_is_known(script, code):
     client, result = apply(*script)
     assert result.exit_code == code
     assert client.script == []
--- a/tests/cli/test_check.py
+++ b/tests/cli/test_check.py
@@ -19,7 +19,7 @@
     return next(number for number, line in enumerate(lines, 1) if text in line)
 
 
-def test_good_files_of_both_kinds(tool, tmp_path):
+def test_valid_files_of_both_kinds(tool, tmp_path):
     settings = write_settings(tmp_path, settings_value())
     result = tool("check", settings, "config.json")
     assert result.code == const.EXIT_OK
@@ -36,7 +36,7 @@
     assert f"config.json:{line}: workspaces.w.tier: there is no tier" in result.out
 
 
-def test_json_holds_every_problem(tool, tmp_path):
+def test_json_output_lists_every_problem(tool, tmp_path):
     write_settings(tmp_path, settings_value(host=7, zone=8))
     result = tool("check", "--json", "settings.json")
     assert result.code == const.EXIT_PROBLEMS
@@ -137,7 +137,7 @@
         assert f": {key}: {word}" in result.out
 
 
-def test_good_selectors_match_upstreams(tool, tmp_path):
+def test_valid_selectors_match_upstreams(tool, tmp_path):
     write_config(
         tmp_path,
         services={"llm": service(selector={"match": {"gen": ["g1", "g2"]}})},
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "3", '{"host": "a"}', '[{"name": "u"}]'])
-def test_bad_upstreams_file_is_wrong_usage(tool, tmp_path, text):
+def test_invalid_upstreams_file_is_a_usage_error(tool, tmp_path, text):
     (tmp_path / "upstreams.json").write_text(text)
     result = tool("check", "--upstreams", "upstreams.json", "config.json")
     assert result.code == const.EXIT_USAGE
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -39,14 +39,14 @@
         assert json.loads(change.config) == json.load(file)
 
 
-def test_apply_takes_the_present_version_for_its_base(tool, port):
+def test_apply_defaults_to_the_current_version_as_base(tool, port):
     port.control.reply = messages.ConfigReply(status="ok", version=4, config=b"{}")
     result = tool("apply", "config.json", "--operator", port.address, "--tries", 1)
     assert port.control.messages[1].base_version == 4
     assert result.code == const.EXIT_UNKNOWN
 
 
-def test_apply_of_a_bad_file_sends_nothing(tool, port, tmp_path):
+def test_apply_of_an_invalid_file_sends_nothing(tool, port, tmp_path):
     (tmp_path / "config.json").write_text('{"tiers": {\n"a": {}}}')
     result = tool("apply", "config.json", "--operator", port.address)
     assert result.code == const.EXIT_PROBLEMS
@@ -96,14 +96,16 @@
         ("odd", const.EXIT_UNKNOWN),
     ],
 )
-def test_repair_is_asked_for(tool, port, status, code):
+def test_repair_status_becomes_the_exit_code(tool, port, status, code):
     port.control.reply = messages.RepairReply(status=status, text="t", leader="")
     options = ("--operator", port.address, "--remove", "a-1", "--add", "b")
     assert tool("control", "repair", *options, "--tries", 1).code == code
     assert port.control.messages == [messages.Repair(remove="a-1", add="b", address="")]
 
 
-def test_wrong_key_and_closed_port_have_their_codes(tool, port, tmp_path, monkeypatch):
+def test_wrong_key_and_closed_port_have_their_exit_codes(
+    tool, port, tmp_path, monkeypatch
+):
     closed = f"127.0.0.1:{free_port()}"
     assert tool("get", "--operator", closed).code == const.EXIT_UNREACHABLE
     monkeypatch.setenv(const.ENV_OPERATOR, f"{closed},{port.address}")
@@ -112,11 +114,11 @@
     assert tool("state").code == const.EXIT_UNAUTHORIZED
 
 
-def test_check_asks_each_given_host_for_its_upstreams(tool, port):
-    """An operator checks selectors while one of the hosts is down.
+def test_check_reads_the_upstreams_of_each_given_host(tool, port):
+    """Selectors are checked while one of the given hosts is down.
 
-    He would be told that selectors match nothing, though they match upstreams
-    of a pool that the host in question owns. The check ends without a verdict.
+    They may match upstreams of a pool that this host owns, so the check must not
+    report them as matching nothing; it fails as unreachable instead.
     """
     port.dump["upstreams"] = [{"name": "u", "service": "llm", "labels": {}}]
     assert tool("check", "--operator", port.address, "config.json").code == 0
@@ -141,12 +143,12 @@
         ("apply", "config.json", "--operator", "127.0.0.1:1", "--change-id", "a b"),
     ],
 )
-def test_wrong_usage_has_its_code(tool, arguments):
+def test_usage_errors_have_their_exit_code(tool, arguments):
     result = tool(*arguments)
     assert (result.code, result.out) == (const.EXIT_USAGE, "")
 
 
-def test_output_that_is_read_in_part_is_no_error(tmp_path):
+def test_closed_output_pipe_is_no_error(tmp_path):
     program = "from bitterntiller.cli.tool import main; main()"
     files = [str(tmp_path / f"{number}.json") for number in range(5000)]
     with subprocess.Popen(
@@ -170,7 +172,7 @@
     assert port.crashes.cleared == [port.crashes.KNOWN]
 
 
-def test_clearing_of_an_unknown_request_fails_with_a_text(tool, port):
+def test_clearing_an_unknown_request_fails_with_an_error_text(tool, port):
     result = tool("crashes", "clear", "0" * 16, "--operator", port.address)
     assert result.code != const.EXIT_OK
     assert "no request with crashes has it" in result.err
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -1,4 +1,4 @@
-"""bitterntiller explain, on the logs of several hosts."""
+"""Tests of `bitterntiller explain` on the logs of several hosts."""
 
 import json
 from pathlib import Path
@@ -9,7 +9,7 @@
 
 def write_log(path: Path, *events: dict[str, Any], prefix: str = "") -> str:
     lines = [prefix + json.dumps(event) for event in events]
-    path.write_text("\n".join(["not a line of ours", *lines, "{broken"]) + "\n")
+    path.write_text("\n".join(["not an event", *lines, "{broken"]) + "\n")
     return str(path)
 
 
@@ -23,8 +23,8 @@
     return code, captured.out + captured.err
 
 
-def test_lost_answer_is_traced_over_two_hosts(tmp_path, capsys):
-    """A caller complains of a late answer; its host and the owner each tell a part."""
+def test_lost_response_is_traced_over_two_hosts(tmp_path, capsys):
+    """A response is late after a retry; entry host and owner each log some events."""
     owner = write_log(
         tmp_path / "core",
         event(10.0, "core-1", "granted", request="r1", upstream="e1"),
@@ -45,7 +45,7 @@
     assert order == ["granted", "sent", "attempt-ended", "sent", "ended"]
     assert "upstream-silent" in text
     assert "r2" not in text
-    assert "sent again after: lost-answer" in text.splitlines()[-1]
+    assert "retried after: lost-answer" in text.splitlines()[-1]
 
 
 def test_refusal_without_a_lease_names_when_it_was_lost(tmp_path, capsys):
@@ -60,7 +60,10 @@
 
 
 def test_refusal_without_any_upstream_names_when_they_were_lost(tmp_path, capsys):
-    """A caller is refused, and whether its service was full or empty is not told."""
+    """A refusal for want of an upstream does not say whether any were registered.
+
+    The trace adds the removal of the last one, and that the owner had none.
+    """
     fields = {"request": "r1", "reason": "no-upstream"}
     core = write_log(
         tmp_path / "core",
@@ -73,31 +76,31 @@
     )
     _, text = explained(capsys, "r1", core, edge)
     assert "leaving" in text
-    assert "its owner knew no upstream for it" in text.splitlines()[-1]
+    assert "its owner had no upstream for it" in text.splitlines()[-1]
 
 
-def test_request_that_was_cut_names_the_last_that_is_known(tmp_path, capsys):
+def test_request_without_a_response_names_its_upstream(tmp_path, capsys):
     log = write_log(
         tmp_path / "edge",
         event(4.0, "edge-1", "sent", request="r1", upstream="e1", waited=0.0),
         event(4.1, "edge-1", "ended", request="r1", outcome="unknown", upstream="e1"),
     )
     _, text = explained(capsys, "r1", log)
-    assert "ended as unknown at e1: no answer came" in text
+    assert "ended as unknown at e1: the upstream sent no response" in text
 
 
 def test_unknown_request_and_missing_file(tmp_path, capsys):
     log = write_log(tmp_path / "edge", event(4.0, "edge-1", "sent", request="r1"))
     code, text = explained(capsys, "r9", log)
     assert code != const.EXIT_OK
-    assert "no line names request r9" in text
+    assert "no event has request id r9" in text
     code, text = explained(capsys, "r1", str(tmp_path / "none"))
     assert code != const.EXIT_OK
     assert "none" in text
 
 
-def test_refusal_by_a_quota_tells_who_counted_and_what(tmp_path, capsys):
-    """A caller within its quota is refused, and its host knows only the verdict."""
+def test_quota_refusal_names_the_counting_host_and_its_figures(tmp_path, capsys):
+    """The entry host logs only the refusal; the counting host logs the figures."""
     counting_host = write_log(
         tmp_path / "core",
         event(
@@ -120,17 +123,17 @@
     entry = write_log(tmp_path / "edge", event(10.01, "edge-1", "refused", **refusal))
     code, text = explained(capsys, "r1", counting_host, entry)
     assert code == const.EXIT_OK
-    assert "core-1 counted 50 to be used and 300 of 5000 left" in text
-    assert "room is kept for it in 1.5 s" in text
+    assert "core-1 counted 50 available and 300 of 5000 left" in text
+    assert "quota is reserved for a retry in 1.5 s" in text
 
 
-def test_request_outside_the_sample_is_told_so(tmp_path, capsys):
-    """A busy owner tells a part of the requests, and an operator takes it for loss."""
-    told = {"part": 0.25, "left_out": 10}
-    owner = write_log(tmp_path / "core", event(10.0, "core-1", "sampling", **told))
+def test_missing_request_reports_hosts_that_sample(tmp_path, capsys):
+    """A busy host samples its request logs; a missing request would look lost."""
+    sampling = {"part": 0.25, "left_out": 10}
+    owner = write_log(tmp_path / "core", event(10.0, "core-1", "sampling", **sampling))
     code, text = explained(capsys, "r9", owner)
     assert code != const.EXIT_OK
-    assert "some hosts tell only a part of their requests: core-1 0.25" in text
+    assert "some hosts log only a fraction of their requests: core-1 0.25" in text
 
 
 def crash(time: float, host: str, upstream: str, fingerprint: str) -> dict[str, Any]:
@@ -151,10 +154,10 @@
     )
     code, text = explained(capsys, "r1", log)
     assert code == const.EXIT_OK
-    assert text.splitlines()[-1].endswith("ended under copies of it: e1, e2")
+    assert text.splitlines()[-1].endswith("crashed on copies of it: e1, e2")
 
 
-def test_refused_copy_names_the_upstreams_that_ended_under_others(tmp_path, capsys):
+def test_refused_copy_names_the_upstreams_that_crashed_on_others(tmp_path, capsys):
     same = "0" * 15 + "a"
     detail = f"3 upstreams have ended (fingerprint {same}); it is not sent"
     fields = {"status": 503, "reason": "crashes-upstreams", "detail": detail}
@@ -164,4 +167,4 @@
         event(30.0, "edge-1", "refused", request="r9", **fields),
     )
     _, text = explained(capsys, "r9", log)
-    assert text.splitlines()[-1].endswith("ended under copies of it: e1")
+    assert text.splitlines()[-1].endswith("crashed on copies of it: e1")
--- a/tests/cli/test_output.py
+++ b/tests/cli/test_output.py
@@ -1,7 +1,7 @@
 from bitterntiller.cli.output import format_table, format_tree
 
 
-def test_tree_shows_each_scalar_in_a_line():
+def test_tree_has_one_line_per_scalar():
     value = {"a": [1, {"b": None}], "c": {}, "d": {"e": True, "f": ""}}
     assert format_tree(value).splitlines() == [
         "a:",
@@ -15,7 +15,7 @@
     ]
 
 
-def test_table_is_as_wide_as_needed():
+def test_table_columns_are_as_wide_as_their_cells():
     assert format_table(("a", "long"), [("x" * 3, 0), (None, "y")]).splitlines() == [
         "a    long",
         "xxx  0",
--- a/tests/cli/test_repair_sender.py
+++ b/tests/cli/test_repair_sender.py
@@ -19,16 +19,16 @@
 
 def repair(*script):
     client = ScriptedClient(*script)
-    wish = {"remove": "a/1", "add": "b"}
-    return client, curio.run(async_repair, client, wish, len(script), 0.0)
+    command = {"remove": "a/1", "add": "b"}
+    return client, curio.run(async_repair, client, command, len(script), 0.0)
 
 
-def test_order_is_repeated_until_redundancy_is_back():
-    """The leader dies after it took the order, and the next never heard of it.
+def test_command_is_repeated_until_redundancy_is_restored():
+    """The leader fails after it accepted the command, which it had only in memory.
 
-    An operator would believe in a repair that nobody carries out, and the loss
-    of one more host would stop control. The tool repeats the same order to the
-    ports in turn and ends well only when all losses are survived again.
+    No other replica would continue the repair, and one more host failure would stop
+    control. The tool repeats the same command to the ports in turn and succeeds only
+    when the repair is reported done.
     """
     client, result = repair(RUNNING, LOST, REFUSED, UNKNOWN, RUNNING, DONE)
     assert (result.exit_code, result.value) == (const.EXIT_OK, DONE[1])
@@ -49,7 +49,7 @@
         ([(200, {"status": "odd"})], const.EXIT_UNKNOWN),
     ],
 )
-def test_exit_code_tells_what_is_known(script, code):
+def test_exit_code_says_whether_the_status_is_known(script, code):
     assert repair(*script)[1].exit_code == code
 
 
@@ -60,7 +60,7 @@
         ((409, {"status": "refused"}), const.EXIT_REFUSED),
     ],
 )
-def test_refused_order_ends_the_command(response, code):
+def test_refusal_ends_the_command(response, code):
     with pytest.raises(ToolError) as caught:
         repair(response, DONE)
     assert caught.value.exit_code == code
--- a/tests/cli/test_rollouts.py
+++ b/tests/cli/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Tests of what `bitterntiller rollouts` prints."""
+"""Tests of the output of `bitterntiller rollouts`."""
 
 import json
 
@@ -36,11 +36,11 @@
         assert word in text
 
 
-def test_no_rollout_is_said():
+def test_missing_rollouts_are_reported():
     assert describe({"rollouts_by_service": {}}) == "no rollout was ordered"
 
 
-def test_order_is_confirmed_in_a_line():
+def test_accepted_rollout_is_reported_in_one_line():
     value = {"number": 4, "to": "v2", "phase": "judged"}
     assert describe_order(value) == "rollout 4 to v2: judged"
 
@@ -58,7 +58,7 @@
         {"service": "llm", "to": "v2", "seconds": -1},
     ],
 )
-def test_order_that_can_not_be_read_is_refused_with_a_reason(value):
+def test_malformed_rollout_command_is_refused_with_a_text(value):
     request = operator_request("POST", const.PATH_ROLLOUTS)
     request = request._replace(body=json.dumps(value).encode())
     with pytest.raises(RefusedRequestError) as refused:
--- a/tests/cli/test_summary.py
+++ b/tests/cli/test_summary.py
@@ -1,4 +1,4 @@
-"""bitterntiller summary, on the logs of several hosts."""
+"""Tests of `bitterntiller summary` on the logs of several hosts."""
 
 from typing import Any
 
@@ -17,7 +17,9 @@
 from tests.cli.test_explain import event, write_log
 
 
-def refused(time: float, waited: float, told: float | None = 1.0) -> dict[str, Any]:
+def refused(
+    time: float, waited: float, retry_after: float | None = 1.0
+) -> dict[str, Any]:
     return event(
         time,
         "edge-1",
@@ -27,7 +29,7 @@
         service="llm",
         tier="gold",
         waited=waited,
-        retry_after=told,
+        retry_after=retry_after,
     )
 
 
@@ -44,7 +46,7 @@
 
 
 def test_ends_are_counted_by_spans_and_reasons(tmp_path):
-    """An operator sees refusals in a burst, and not which of many reasons they have."""
+    """Refusals come in bursts; the summary groups them by interval and reason."""
     found = summed(
         tmp_path,
         refused(15.0, 3.0, None),
@@ -62,7 +64,7 @@
 
 
 def test_steps_are_counted_from_the_last_start(tmp_path):
-    """Power was lost, and it is open which step of the way back took the time."""
+    """After a power loss the summary shows which startup step took the time."""
     found = summed(
         tmp_path,
         event(1.0, "core-1", "start"),
@@ -80,8 +82,8 @@
     assert steps == {"voters-answered": 0.1, "leading": 0.2, "lease": 0.9}
 
 
-def test_largest_requests_and_routes_are_counted_apart(tmp_path):
-    """A new route, or the largest requests, get next to nothing; all get nearly all."""
+def test_largest_requests_and_routes_are_counted_separately(tmp_path):
+    """A new route or the largest requests may starve while the total looks good."""
     lines = [
         {**ended(10.0 + n, "done"), "service": "llm", "tokens": n, "route": "first"}
         for n in range(18)
@@ -100,8 +102,8 @@
     }
 
 
-def test_upstreams_without_work_are_named(tmp_path):
-    """Upstreams stand idle while requests wait, and only their owner knows why."""
+def test_unused_upstreams_are_listed_with_their_owner(tmp_path):
+    """Upstreams are idle while requests wait; only events of their owner say why."""
     found = summed(
         tmp_path,
         event(1.0, "core-1", "upstream-use", upstream="e1", change="usable"),
@@ -128,19 +130,21 @@
 
 
 @pytest.mark.parametrize("arguments", [["/no/such/file"], ["--span", "0", "/dev/null"]])
-def test_bad_input_is_told(arguments, capsys):
+def test_invalid_input_is_reported(arguments, capsys):
     assert tool.run(["summary", *arguments]) != const.EXIT_OK
     assert "bitterntiller:" in capsys.readouterr().err
 
 
-def test_file_without_lines_of_ours(tmp_path, capsys):
+def test_file_without_events(tmp_path, capsys):
     path = tmp_path / "empty"
     path.write_text("nothing\n")
     assert tool.run(["summary", str(path)]) == ToolError("").exit_code
-    assert "no line of ours" in capsys.readouterr().err
+    assert "no log events" in capsys.readouterr().err
 
 
-def decided(time: float, reserved: bool, left: int, **fields: Any) -> dict[str, Any]:
+def quota_event(
+    time: float, reserved: bool, left: int, **fields: Any
+) -> dict[str, Any]:
     return event(
         time,
         "core-1",
@@ -155,13 +159,13 @@
     )
 
 
-def test_decisions_at_quotas_are_summed_by_workspace(tmp_path, capsys):
-    """A workspace complains of refusals; an operator sees who counted, and what."""
+def test_quota_decisions_are_summarized_by_workspace(tmp_path, capsys):
+    """A refusal by quota does not say which host counted, nor how much was left."""
     path = write_log(
         tmp_path / "log",
-        decided(1.0, True, 800),
-        decided(1.1, False, 50, retry_reserved=True),
-        decided(1.2, False, 20, retry_reserved=False),
+        quota_event(1.0, True, 800),
+        quota_event(1.1, False, 50, retry_reserved=True),
+        quota_event(1.2, False, 20, retry_reserved=False),
         event(1.3, "core-1", "sampling", part=0.25, left_out=7),
     )
     with open(path, encoding="utf-8") as texts:
--- a/tests/examples/test_examples.py
+++ b/tests/examples/test_examples.py
@@ -11,7 +11,7 @@
 from bitterntiller.core.document import read_document
 
 EXAMPLES = Path(__file__).parents[2] / "examples"
-NOT_HOSTS = ("config.json", "upstreams.json")
+NOT_SETTINGS_FILES = ("config.json", "upstreams.json")
 
 DEPLOYMENTS = [
     ("canopy", 9, {"bole", "kirkos", "yeka", "lideta"}, [4, 5]),
@@ -20,7 +20,9 @@
 
 
 def host_files(folder):
-    return [path for path in folder.glob("*.json") if path.name not in NOT_HOSTS]
+    return [
+        path for path in folder.glob("*.json") if path.name not in NOT_SETTINGS_FILES
+    ]
 
 
 @pytest.mark.parametrize("name", ["canopy", "keskus"])
@@ -39,7 +41,9 @@
     folder = EXAMPLES / name
     settings = [load_settings(path) for path in host_files(folder)]
     config = parse_config(read_document(folder / "config.json").value, 1)
-    services = Counter(item.service for item in read_upstreams(folder / NOT_HOSTS[1]))
+    services = Counter(
+        item.service for item in read_upstreams(folder / NOT_SETTINGS_FILES[1])
+    )
     assert len(settings) == hosts
     assert {item.zone for item in settings} == zones
     assert sorted(services.values()) == upstreams
@@ -47,7 +51,7 @@
 
 
 @pytest.mark.parametrize("name", ["canopy", "keskus"])
-def test_hosts_of_an_example_fit_together(name):
+def test_hosts_of_an_example_are_consistent(name):
     settings = [load_settings(path) for path in host_files(EXAMPLES / name)]
     control = [item for item in settings if "control" in item.roles]
     assert len(control) == 3
