--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for upstreams: a model engine and a plain service, for tests."""
+"""Stand-in upstreams for tests and the demo: a model engine and a plain service."""
--- a/standins/announcer.py
+++ b/standins/announcer.py
@@ -1,4 +1,4 @@
-"""Announcements of a stand-in to the entry hosts."""
+"""Periodic announcements of a stand-in to the entry hosts."""
 
 import json
 import time
@@ -21,7 +21,7 @@
 async def async_post(
     address: tuple[str, int], target: str, headers: dict[str, str], body: bytes
 ) -> int:
-    """Post a body on a connection of its own and return the status; 0: no answer."""
+    """Post a body on a new connection; return the status, or 0 without a response."""
     http = h11.Connection(h11.CLIENT)
     fields = {"Host": f"{address[0]}:{address[1]}", "Connection": "close", **headers}
     fields["Content-Length"] = str(len(body))
@@ -43,7 +43,10 @@
 
 
 class Announcer:
-    """Tells one of several entry hosts about the stand-in every second."""
+    """Announces the stand-in to one of several entry hosts every second.
+
+    It stays with one host while that host accepts, else tries the next ones.
+    """
 
     def __init__(
         self,
@@ -71,7 +74,7 @@
         }
 
     async def async_run(self) -> None:
-        """Announce for ever."""
+        """Announce until cancelled, every PERIOD_S or when announce_now is set."""
         while self._hosts:
             if not self._faults.silent:
                 await self._async_announce()
@@ -124,7 +127,7 @@
         }
 
     def _load_report(self) -> dict[str, int]:
-        """Return a report that is as late as the options say."""
+        """Return the load that was measured load_lag_ms ago."""
         now, lag = time.monotonic(), self._options.load_lag_ms / 1000
         self._loads.append((now, self._running(), self.kv_tokens_used))
         while len(self._loads) > 1 and self._loads[1][0] <= now - lag:
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,8 +1,8 @@
-"""The demonstration: `python -m standins.demo` runs a small deployment on loopback.
+"""Demo: `python -m standins.demo` runs a small deployment on loopback.
 
-Three hosts, each with a disk, two unlike engines and a plain service; the
-configuration of the canopy example is applied, and a streamed completion and a
-call that may not be repeated are sent through it. With --once it ends then.
+It has three hosts, each with a data folder, two engines of different speed and a plain
+service. The configuration of the canopy example is applied, then a streamed completion
+and a non-idempotent request are sent through it. With --once the demo ends after them.
 """
 
 import json
@@ -28,7 +28,7 @@
 
 
 class Host(NamedTuple):
-    """A host of the demonstration and its three ports, all on 127.0.0.1."""
+    """A host of the demo and its three ports, all on 127.0.0.1."""
 
     name: str
     zone: str
@@ -38,7 +38,7 @@
 
 
 class Upstream(NamedTuple):
-    """A stand-in: its module, port, service, speed options and labels."""
+    """A stand-in: its module, port, service, labels and speed options."""
 
     name: str
     module: str
@@ -78,7 +78,7 @@
 @cappa.command(name="demo")
 @dataclass
 class Arguments:
-    """Run a demonstration deployment on loopback."""
+    """Run a demo deployment on loopback."""
 
     once: Annotated[bool, cappa.Arg(long=True, help="end after the requests")] = False
 
@@ -108,7 +108,7 @@
 
 
 def start(stack: ExitStack, name: str, module: str, arguments: list[str]) -> None:
-    """Start a process whose output goes to a log file; the stack ends it."""
+    """Start a process that writes to a log file; the stack stops it."""
     log = stack.enter_context((FOLDER / f"{name}.log").open("ab"))
     process = subprocess.Popen(
         [sys.executable, "-m", module, *arguments], cwd=ROOT, stdout=log, stderr=log
@@ -117,7 +117,7 @@
 
 
 def stop(process: subprocess.Popen[bytes]) -> None:
-    """End a process that start() started."""
+    """Stop a process that start() started; kill it after STOP_SECONDS."""
     process.terminate()
     try:
         process.wait(STOP_SECONDS)
@@ -127,7 +127,7 @@
 
 
 def start_hosts(stack: ExitStack) -> None:
-    """Start the hosts with settings files of their own."""
+    """Write a settings file for each host and start the hosts."""
     for host in HOSTS:
         path = FOLDER / f"{host.name}.json"
         path.write_text(json.dumps(host_settings(host), indent=2))
@@ -147,7 +147,7 @@
 
 
 def wait_until_ready() -> None:
-    """Wait until every host takes work; raise TimeoutError."""
+    """Wait until every host is ready; raise TimeoutError after READY_SECONDS."""
     until = time.monotonic() + READY_SECONDS
     for host in HOSTS:
         while not is_ready(host):
@@ -157,7 +157,7 @@
 
 
 def is_ready(host: Host) -> bool:
-    """Tell whether a host takes work."""
+    """Return whether a host is ready for requests."""
     try:
         urllib.request.urlopen(f"http://127.0.0.1:{host.caller}/readyz").close()
     except OSError:
@@ -166,7 +166,7 @@
 
 
 def apply_configuration() -> None:
-    """Apply the example's configuration by the command-line tool."""
+    """Apply the example's configuration with the command-line tool."""
     command = [sys.executable, "-m", "bitterntiller.cli.tool", "apply"]
     command += [str(EXAMPLE / "config.json")]
     command += ["--operator", f"127.0.0.1:{HOSTS[0].operator}"]
@@ -175,7 +175,10 @@
 
 
 def send(host: Host, workspace: str, path: str, body: dict[str, Any]) -> None:
-    """Send a request, print its answer as it comes; try again while told to."""
+    """Send a request and print its response as it arrives.
+
+    A refused request is retried after its Retry-After, for up to READY_SECONDS.
+    """
     request = urllib.request.Request(
         f"http://127.0.0.1:{host.caller}{path}",
         json.dumps(body).encode(),
@@ -184,13 +187,13 @@
     until = time.monotonic() + READY_SECONDS
     while True:
         try:
-            with urllib.request.urlopen(request) as answer:
-                print(f"\n{path} at {host.name}: {answer.headers['X-Outcome']}")
-                for line in answer:
+            with urllib.request.urlopen(request) as response:
+                print(f"\n{path} at {host.name}: {response.headers['X-Outcome']}")
+                for line in response:
                     sys.stdout.write(line.decode())
                 return
         except urllib.error.HTTPError as error:
-            # Only a request that is proved not to have run is sent again.
+            # Only a request that is known not to have run is sent again.
             not_run = error.headers["X-Outcome"] == "not-run"
             if not not_run or time.monotonic() > until:
                 raise SystemExit(f"{error} {error.read().decode()}") from error
@@ -198,7 +201,7 @@
 
 
 def main() -> None:
-    """Run the demonstration until it is interrupted."""
+    """Run the demo until it is interrupted."""
     arguments = cappa.parse(Arguments)
     FOLDER.mkdir(parents=True, exist_ok=True)
     with ExitStack() as stack:
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,4 +1,4 @@
-"""A model engine's stand-in: `python -m standins.engine`, as docs/UPSTREAMS.md says."""
+"""Stand-in for a model engine: `python -m standins.engine`; see docs/UPSTREAMS.md."""
 
 import json
 import os
@@ -28,20 +28,20 @@
 
 @dataclass(kw_only=True)
 class EngineOptions(Options):
-    """The options of an engine."""
+    """Options of an engine."""
 
     token_ms: Annotated[float, cappa.Arg(long=True)] = 5.0
     prefill_us: Annotated[float, cappa.Arg(long=True)] = 20.0
-    """Microseconds for each prompt token that is not cached."""
+    """Prefill time in microseconds for each prompt token that is not cached."""
     cache_prefixes: Annotated[int, cappa.Arg(long=True)] = 1000
     keep_s: Annotated[float, cappa.Arg(long=True)] = 30.0
-    """How long finished work can be resumed."""
+    """Seconds for which a finished generation can be resumed."""
     crash_mark: Annotated[str, cappa.Arg(long=True)] = ""
-    """The process ends when it begins a request whose prompt has this text."""
+    """The process exits when it begins a request whose prompt contains this text."""
 
 
 class Engine:
-    """Works on requests in a bounded number of slots."""
+    """Generates tokens for requests in a bounded number of slots."""
 
     def __init__(self, options: EngineOptions) -> None:
         self.server = Server(options, self.async_handle)
@@ -56,7 +56,7 @@
     async def async_handle(
         self, connection: Connection, request: Request, faults: Faults
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         path = request.target.split("?")[0]
         if request.method == "POST" and path in (CHAT_PATH, COMPLETION_PATH):
             await self._async_run(connection, request, faults.consume())
@@ -118,7 +118,7 @@
             await generation.async_finish()
 
     def _crash_if_marked(self, generation: Generation) -> None:
-        """End the process, and all work in it, at a request that it can't survive."""
+        """Exit, with all other generations, when the prompt contains crash_mark."""
         mark = self._options.crash_mark
         if mark and mark in generation.prompt:
             self.server.recorder.add("crash", request_id=generation.request_id)
@@ -186,7 +186,7 @@
         if sent == 0:
             await connection.async_send(head)
         if not generation.events or b"[DONE]" not in generation.events[-1]:
-            connection.reset()  # cancelled: never a clean end of a part
+            connection.reset()  # cancelled: an incomplete stream never ends cleanly
         await connection.async_send(h11.EndOfMessage())
 
     async def _async_break_stream(self, connection: Connection, faults: Faults) -> None:
@@ -234,18 +234,18 @@
 
 
 def echoed_request_id(request_id: str, faults: Faults) -> str:
-    """Return the request id that an answer carries."""
+    """Return the request id that a response carries."""
     return f"not-{request_id}" if faults.wrong_id else request_id
 
 
 def first_break(faults: Faults) -> int:
-    """Return after how many events a stream breaks, -1 for never."""
+    """Return the number of events after which a stream breaks, -1 for never."""
     bounds = (faults.reset_after, faults.stall_after, faults.end_after)
     return min((bound for bound in bounds if bound >= 0), default=-1)
 
 
 def main() -> None:
-    """Run an engine as the command line says."""
+    """Run an engine with the options of the command line."""
     options = cappa.parse(EngineOptions)
     curio.run(Engine(options).server.async_run)
 
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""The faults that a tester can order from a stand-in."""
+"""Faults that a test can inject into a stand-in."""
 
 from dataclasses import dataclass, fields
 from typing import Any
@@ -6,30 +6,30 @@
 
 @dataclass
 class Faults:
-    """What goes wrong now. times bounds how many requests are hit; -1: no bound.
+    """The faults in effect. times limits how many requests they affect; -1: no limit.
 
-    POST /v1/faults sets the named fields and puts all others back to none.
+    POST /v1/faults sets the given fields and resets all others to their defaults.
     """
 
     times: int = -1
-    delay_s: float = 0.0  # before the first byte of an answer
-    reset_after: int = -1  # events or, with plain answers, 0: reset unanswered
-    stall_after: int = -1  # events, then silence on an open connection
-    end_after: int = -1  # events, then a clean end without the end mark
+    delay_s: float = 0.0  # before the first byte of a response
+    reset_after: int = -1  # events; for JSON responses 0: reset without a response
+    stall_after: int = -1  # events, then nothing on an open connection
+    end_after: int = -1  # events, then a clean end without the [DONE] event
     wrong_id: bool = False  # echoes another request's id
-    slow: float = 1.0  # factor on all working times
+    slow: float = 1.0  # factor on all processing times
     not_admit: bool = False  # 503 with X-Admitted: false
     refuse_connect: bool = False  # the listening socket is closed
-    drop_answers: bool = False  # the work is done, the connection closed unanswered
-    forget: bool = False  # resume answers 404
+    drop_answers: bool = False  # runs the request, then resets without a response
+    forget: bool = False  # resume responds with 404
     silent: bool = False  # no announcements
-    leaving: bool = False  # announces that it leaves, and goes on
-    fail: float = 0.0  # part of the requests that are answered 500
-    rate_limit: float = -1.0  # requests a second that answers name; -1: none
+    leaving: bool = False  # announces that it is leaving, but keeps running
+    fail: float = 0.0  # fraction of requests that get a 500 response
+    rate_limit: float = -1.0  # requests per second named in responses; -1: none
     old_sequence: bool = False  # announces old sequence numbers
 
     def set(self, document: dict[str, Any]) -> None:
-        """Take new faults; raise ValueError for one that is not known."""
+        """Replace all faults; raise ValueError for an unknown name."""
         known = {field.name: field.default for field in fields(self)}
         unknown = set(document) - set(known)
         if unknown:
@@ -38,7 +38,7 @@
             setattr(self, name, value)
 
     def consume(self) -> "Faults":
-        """Return the faults that hit the request that arrives now."""
+        """Return the faults for the next request, and count it against times."""
         if self.times == 0:
             return Faults()
         if self.times > 0:
--- a/standins/generation.py
+++ b/standins/generation.py
@@ -1,4 +1,4 @@
-"""One request that an engine's stand-in works on, and its events so far."""
+"""A request in progress at a stand-in engine, and its events so far."""
 
 import json
 import time
@@ -12,7 +12,7 @@
 
 
 class Generation:
-    """One request being worked on; its events are kept so that it can be resumed."""
+    """A request in progress; its events are kept so that a stream can be resumed."""
 
     def __init__(self, request_id: str, body: dict[str, Any], *, chat: bool) -> None:
         self.request_id = request_id
@@ -66,23 +66,23 @@
         self.events.append(f"id: {number}\ndata: {data}\n\n".encode())
 
     async def async_finish(self) -> None:
-        """Note that no more events come."""
+        """Mark the generation as finished."""
         self.finished = True
         self.finished_at = time.monotonic()
         await self.async_notify()
 
     async def async_notify(self) -> None:
-        """Wake all that wait for more events."""
+        """Wake all tasks that wait for events."""
         await self.updated.set()
         self.updated = curio.Event()
 
     async def async_events_after(self, after: int) -> list[bytes]:
-        """Return the events after a number once there are any; none at the end."""
+        """Wait for events after a number and return them; empty once finished."""
         while len(self.events) <= after and not self.finished:
             await self.updated.wait()
         return self.events[after:]
 
     async def async_wait_finished(self) -> None:
-        """Return when no more events come."""
+        """Wait until the generation is finished."""
         while not self.finished:
             await self.updated.wait()
--- a/standins/options.py
+++ b/standins/options.py
@@ -1,4 +1,4 @@
-"""The options that both stand-ins take."""
+"""Command-line options shared by both stand-ins."""
 
 import time
 from dataclasses import dataclass, field
@@ -11,16 +11,17 @@
 
 
 def parse_address(text: str) -> Address:
-    """Parse an IP number and a port."""
+    """Parse IP:port."""
     ip, _, port = text.rpartition(":")
     return ip, int(port)
 
 
 @dataclass(kw_only=True)
 class Options:
-    """Where a stand-in listens, what it is called and to whom it announces.
+    """Address, name and labels of a stand-in, and the hosts that it announces to.
 
-    Addresses are IP:port, several of them parted by commas, as labels key=value are.
+    Addresses are IP:port. Lists of addresses and key=value labels are separated by
+    commas.
     """
 
     listen: Annotated[str, cappa.Arg(long=True)]
@@ -31,17 +32,17 @@
     labels: Annotated[str, cappa.Arg(long=True)] = ""
     record: Annotated[Path | None, cappa.Arg(long=True)] = None
     control: Annotated[str, cappa.Arg(long=True)] = ""
-    """A second address for faults, which stays open while listen is closed."""
+    """A second address for fault injection, open also while listen is closed."""
     slots: Annotated[int, cappa.Arg(long=True)] = 16
     limit: Annotated[int, cappa.Arg(long=True)] = 1000
-    """Requests held at once; the next is answered 503, X-Admitted: false."""
+    """Maximum concurrent requests; further ones get 503 with X-Admitted: false."""
     kv_tokens: Annotated[int, cappa.Arg(long=True)] = 100_000
     incarnation: Annotated[int, cappa.Arg(long=True)] = field(
         default_factory=lambda: time.time_ns() // 1_000_000
     )
     load_lag_ms: Annotated[int, cappa.Arg(long=True)] = 400
     leave_s: Annotated[float, cappa.Arg(long=True)] = 3.0
-    """Seconds between the signal to leave and the earliest exit."""
+    """Minimum seconds between SIGTERM and exit."""
 
     @property
     def entry_hosts(self) -> list[Address]:
--- a/standins/orders.py
+++ b/standins/orders.py
@@ -1,4 +1,4 @@
-"""The orders that an engine's stand-in takes."""
+"""Execution of orders by the stand-ins."""
 
 import json
 from typing import Any
@@ -7,7 +7,11 @@
 
 
 class OrderExecutor:
-    """Carries out orders, checking fences and repeated ids where labels say so."""
+    """Executes orders; labels enable deduplication by id and fence checks.
+
+    orders=idempotent returns the first result for a repeated id; fencing=checked
+    rejects a fence below the highest one received.
+    """
 
     def __init__(self, server: Server) -> None:
         self._server = server
@@ -15,7 +19,7 @@
         self._results_by_id: dict[str, dict[str, Any]] = {}
 
     async def async_handle(self, connection: Connection, request: Request) -> None:
-        """Answer an order."""
+        """Execute an order and respond."""
         order = json.loads(request.body)
         labels = self._server.options.labels_by_key
         if labels.get("orders") == "idempotent":
--- a/standins/plain.py
+++ b/standins/plain.py
@@ -1,4 +1,4 @@
-"""A plain service's stand-in: `python -m standins.plain`."""
+"""Stand-in for a plain service: `python -m standins.plain`."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -16,13 +16,13 @@
 
 @dataclass(kw_only=True)
 class PlainOptions(Options):
-    """The options of a plain service."""
+    """Options of a plain service."""
 
     work_ms: Annotated[float, cappa.Arg(long=True)] = 5.0
 
 
 class PlainService:
-    """Answers every path by JSON and counts the executions."""
+    """Responds with JSON on every path and records each execution."""
 
     def __init__(self, options: PlainOptions) -> None:
         self.server = Server(options, self.async_handle)
@@ -33,7 +33,7 @@
     async def async_handle(
         self, connection: Connection, request: Request, faults: Faults
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         if request.target == "/v1/orders":
             await self._orders.async_handle(connection, request)
             return
@@ -70,7 +70,7 @@
 
 
 def main() -> None:
-    """Run a plain service as the command line says."""
+    """Run a plain service with the options of the command line."""
     options = cappa.parse(PlainOptions)
     curio.run(PlainService(options).server.async_run)
 
--- a/standins/prefix_cache.py
+++ b/standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""The prompt prefixes that an engine's stand-in keeps."""
+"""Prefix cache of a stand-in engine."""
 
 from collections import OrderedDict, deque
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 class PrefixCache:
-    """The prompt prefixes that the engine has computed, the oldest dropped first."""
+    """LRU cache of prompt prefixes, whose lengths double from SMALLEST_PREFIX_BYTES."""
 
     def __init__(self, size: int, events: deque[dict[str, Any]]) -> None:
         self._size = size
@@ -18,7 +18,7 @@
         self._hashes: OrderedDict[int, None] = OrderedDict()
 
     def lookup_and_store(self, prompt: bytes) -> int:
-        """Return how many bytes of a prompt were cached, and cache its prefixes."""
+        """Return how many bytes of a prompt are cached, and store its prefixes."""
         cached, length = 0, SMALLEST_PREFIX_BYTES
         while length <= len(prompt):
             prefix_hash = xxhash.xxh3_64_intdigest(prompt[:length])
--- a/standins/server.py
+++ b/standins/server.py
@@ -1,4 +1,4 @@
-"""The serving side that both stand-ins share: HTTP, faults, records, leaving."""
+"""Server shared by both stand-ins: HTTP, fault injection, records and shutdown."""
 
 import json
 import signal
@@ -21,7 +21,7 @@
 
 
 class ConnectionLostError(Exception):
-    """Raised when the peer is gone or a fault ends the connection."""
+    """Raised when the peer disconnects or a fault breaks the connection."""
 
 
 class Request(NamedTuple):
@@ -36,14 +36,14 @@
 
 
 class Connection:
-    """One connection of a peer; answers one request at a time."""
+    """One HTTP connection, with one request at a time."""
 
     def __init__(self, sock: Any) -> None:
         self._sock = sock
         self._http = h11.Connection(h11.SERVER)
 
     async def async_read(self) -> Request | None:
-        """Return the next request, None when the peer has closed."""
+        """Return the next request, None when the peer has closed the connection."""
         if self._http.our_state is h11.DONE:
             self._http.start_next_cycle()
         head, body = None, []
@@ -63,7 +63,7 @@
                 return None
 
     async def async_send(self, *events: h11.Event) -> None:
-        """Send some parts of an answer at once."""
+        """Send parts of a response in one write."""
         data = b"".join(self._http.send(event) or b"" for event in events)
         try:
             await self._sock.sendall(data)
@@ -73,7 +73,7 @@
     async def async_respond(
         self, status: int, document: Any, headers: dict[str, str] | None = None
     ) -> None:
-        """Send a whole answer; document is JSON or bytes that are JSON already."""
+        """Send a complete response; document is a JSON value or encoded JSON."""
         body = (
             document if isinstance(document, bytes) else json.dumps(document).encode()
         )
@@ -89,12 +89,12 @@
         )
 
     async def async_wait_closed(self) -> None:
-        """Return when the peer has closed, as one that waits for an answer may."""
+        """Wait until the peer closes, as a client that waits for a response may do."""
         while await self._sock.recv(READ_BYTES):
             pass
 
     def reset(self) -> None:
-        """End the connection by a TCP reset."""
+        """Close the connection with a TCP reset; raise ConnectionLostError."""
         self._sock.setsockopt(
             system_socket.SOL_SOCKET, system_socket.SO_LINGER, LINGER_RESET
         )
@@ -105,7 +105,10 @@
 
 
 class Recorder:
-    """Appends a JSON line for each event that a tester counts, even after a kill."""
+    """Appends a JSON line per event to the record file.
+
+    Each line is flushed, so that tests can count events also after SIGKILL.
+    """
 
     def __init__(self, options: Options) -> None:
         self._file = options.record.open("a") if options.record else None
@@ -119,7 +122,7 @@
         self._file.flush()
 
     def record_run(self, request: Request) -> None:
-        """Record a request whose work begins now."""
+        """Record that a request begins to run."""
         self.add(
             "run",
             request_id=request.request_id,
@@ -133,9 +136,9 @@
 
 
 class Server:
-    """Serves a handler until a signal, announcing the stand-in meanwhile.
+    """Serves a handler and announces the stand-in until SIGTERM.
 
-    running counts the requests being worked on; the handler's side keeps it.
+    running is the number of requests in progress; the handler updates it.
     """
 
     def __init__(self, options: Options, handler: Handler) -> None:
@@ -160,7 +163,7 @@
         self._accepted = True
 
     async def async_run(self) -> None:
-        """Serve until SIGTERM, then leave: finish the work in progress and end."""
+        """Serve until SIGTERM, then announce leaving, finish requests and return."""
         reader, writer = system_socket.socketpair()
         signal.signal(signal.SIGTERM, lambda *_: writer.send(b"x"))
         await self._async_open()
