--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -13,18 +13,18 @@
 from functools import partial
 from typing import NamedTuple
 
-from bitterntiller.components.rollouts import judgement
+from bitterntiller.components.rollouts import canary_analysis
 from bitterntiller.components.rollouts.const import (
-    CANARIES,
-    MOST_ALLOWED,
+    CANARY_UPSTREAMS,
+    MAX_ALLOWED,
     REPORT_PERIOD,
 )
-from bitterntiller.components.rollouts.course import (
+from bitterntiller.components.rollouts.models import Cell, Counts, Phase
+from bitterntiller.components.rollouts.progression import (
     Progress,
     most_exposed,
     next_step,
 )
-from bitterntiller.components.rollouts.models import Cell, Counts, Phase
 from bitterntiller.components.rollouts.trial import Trial
 from bitterntiller.components.settings.models import RolloutBounds
 
@@ -38,8 +38,8 @@
 ROLLBACK_SECONDS = 5.0
 BAD_ANSWERS = 50
 WEIGH_BY_NAME = {
-    "ratio": judgement.weigh_by_ratio,
-    "mixture": judgement.weigh_by_mixture,
+    "ratio": canary_analysis.weigh_by_likelihood_ratio,
+    "mixture": canary_analysis.weigh_by_mixture,
 }
 
 
@@ -106,7 +106,7 @@
         }
         self.old = [f"old{number}" for number in range(engines)]
         self.new = [f"new{number}" for number in range(engines)]
-        self.canaries = self.new[:CANARIES]
+        self.canaries = self.new[:CANARY_UPSTREAMS]
         self.running_by_name = dict.fromkeys(self.speed_by_name, 0)
         self.troubled = {
             name
@@ -181,7 +181,7 @@
             self.trial.old_running,
             self.counts_by_cell,
         )
-        wanted = MOST_ALLOWED
+        wanted = MAX_ALLOWED
         cap = most_exposed(progress, BOUNDS)
         allowed = max(0, min(wanted - self.allowance, cap - self.allotted))
         self.allowance += allowed
--- a/bitterntiller/components/dispatch/canary_picker.py
+++ b/bitterntiller/components/dispatch/canary_picker.py
@@ -5,7 +5,7 @@
 from bitterntiller.components.dispatch.models import CanaryAllowance
 from bitterntiller.components.dispatch.pool import Pool
 from bitterntiller.components.dispatch.upstreams import Upstream
-from bitterntiller.components.rollouts.const import CANARIES
+from bitterntiller.components.rollouts.const import CANARY_UPSTREAMS
 
 
 class CanaryPicker:
@@ -31,9 +31,9 @@
     def pick(self, job: Job, now: float) -> Upstream | None:
         """Return an upstream of the candidate version for a request, or None.
 
-        The first CANARIES upstreams get all such requests, and the others only those
-        for which the first ones have no room. Requests that are suspected of crashing
-        upstreams are left out: a crash would count against the version.
+        The first CANARY_UPSTREAMS upstreams get all such requests, and the others only
+        those for which the first ones have no room. Requests that are suspected of
+        crashing upstreams are left out: a crash would count against the version.
         """
         allowance = self.allowance
         if allowance is None or not allowance.is_open(now):
@@ -41,7 +41,7 @@
         if self._isolation.suspect_key(job.request, now):
             return None
         candidates = self._pool.candidate_upstreams(now)
-        for some in (candidates[:CANARIES], candidates[CANARIES:]):
+        for some in (candidates[:CANARY_UPSTREAMS], candidates[CANARY_UPSTREAMS:]):
             free = [upstream for upstream in some if self._may_take(job, upstream, now)]
             if not free:
                 continue
--- a/bitterntiller/components/rollouts/const.py
+++ b/bitterntiller/components/rollouts/const.py
@@ -19,7 +19,7 @@
 MAX_SECONDS = 86_400.0
 """Bounds of a rollout's time limit."""
 
-REPEAT_SECONDS = 10.0
+DUPLICATE_ORDER_SECONDS = 10.0
 """For how long after an order the same order counts as its repetition.
 
 Later, the order of a version that was reverted starts another rollout.
@@ -31,15 +31,15 @@
 MAX_CELLS = 20_000
 """Cells of evidence that one rollout may keep in the log's state."""
 
-TICK = 0.1
-IDLE_TICK = 0.5
+EVALUATION_PERIOD = 0.1
+IDLE_PERIOD = 0.5
 """Seconds between two looks of the leader at rollouts under way, and without any."""
 
 REPORT_PERIOD = 0.25
 """Seconds between two reports of an owner on a rollout under way."""
 
 REPORT_TIMEOUT = 0.8
-MOST_ALLOWED = 64
+MAX_ALLOWED = 64
 """Requests that an owner asks to send to the new version at once, at most."""
 
 ALLOWANCE_SECONDS = 1.0
@@ -48,10 +48,10 @@
 An owner without contact to control sends nothing more to the new version after that.
 """
 
-DRAINED_SECONDS = 1.0
+OLD_RUNNING_MAX_AGE = 1.0
 """An owner's count of what runs on the old version holds for so long."""
 
-CANARIES = 4
+CANARY_UPSTREAMS = 4
 """Upstreams of the new version that are judged; others get what has no room there."""
 
 METRIC_ORDERS = "rollouts.orders"
--- a/bitterntiller/components/rollouts/diagnostics.py
+++ b/bitterntiller/components/rollouts/diagnostics.py
@@ -2,7 +2,10 @@
 
 from typing import Any
 
-from bitterntiller.components.rollouts.judgement import answers, find_worst
+from bitterntiller.components.rollouts.canary_analysis import (
+    count_responses,
+    find_strongest,
+)
 from bitterntiller.components.rollouts.models import Counts
 from bitterntiller.components.rollouts.state import Rollout, RolloutsState
 from bitterntiller.components.settings.models import RolloutBounds
@@ -22,8 +25,8 @@
 def describe_rollout(rollout: Rollout, bounds: RolloutBounds) -> dict[str, Any]:
     """Return a rollout's state, its exposure and what speaks against the version."""
     counts_by_cell = rollout.counts_by_cell()
-    answered = answers(counts_by_cell)
-    worst = find_worst(counts_by_cell)
+    answered = count_responses(counts_by_cell)
+    worst = find_strongest(counts_by_cell)
     counts_by_route: dict[str, dict[str, Counts]] = {}
     for cell, counts in counts_by_cell.items():
         sides = counts_by_route.setdefault(cell.route, {})
--- a/bitterntiller/components/rollouts/leader.py
+++ b/bitterntiller/components/rollouts/leader.py
@@ -8,7 +8,8 @@
 from absl import logging
 
 from bitterntiller.components.rollouts.const import (
-    IDLE_TICK,
+    EVALUATION_PERIOD,
+    IDLE_PERIOD,
     MAX_SECONDS,
     MAX_VERSION_LENGTH,
     METRIC_ORDERS,
@@ -18,14 +19,17 @@
     STATUS_NOT_LEADER,
     STATUS_OK,
     STATUS_UNKNOWN,
-    TICK,
 )
-from bitterntiller.components.rollouts.course import Progress, most_exposed, next_step
 from bitterntiller.components.rollouts.diagnostics import (
     describe_rollout,
     describe_rollouts,
 )
 from bitterntiller.components.rollouts.errors import OrderError
+from bitterntiller.components.rollouts.progression import (
+    Progress,
+    most_exposed,
+    next_step,
+)
 from bitterntiller.components.rollouts.state import Rollout, RolloutsState, reply
 from bitterntiller.components.settings.models import RolloutBounds
 from bitterntiller.core import events
@@ -147,7 +151,7 @@
     async def async_run(self) -> None:
         """Judge the rollouts under way, until cancelled."""
         while True:
-            await curio.sleep(TICK if self._under_way() else IDLE_TICK)
+            await curio.sleep(EVALUATION_PERIOD if self._under_way() else IDLE_PERIOD)
             await self.async_judge()
 
     def _under_way(self) -> list[Rollout]:
--- a/bitterntiller/components/rollouts/course.py
+++ b/bitterntiller/components/rollouts/progression.py
@@ -10,47 +10,47 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from bitterntiller.components.rollouts.judgement import (
-    Weigh,
-    answers,
-    find_worst,
-    threshold,
+from bitterntiller.components.rollouts.canary_analysis import (
+    WeighEvidence,
+    count_responses,
+    find_strongest,
+    revert_threshold,
     weigh_by_mixture,
 )
 from bitterntiller.components.rollouts.models import Cell, Counts, Phase
 from bitterntiller.components.settings.models import RolloutBounds
 
-START_REQUESTS = 8
+INITIAL_REQUESTS = 8
 """Requests that the new version may get at once."""
 
-PULSES = 5
-LEAST_PULSE = 8
-MOST_PULSE = 36
+BATCHES = 5
+MIN_BATCH = 8
+MAX_BATCH = 36
 """In how many pulses the rest of what is spread over the time is allotted, and how many
 requests one has. A pulse loads few upstreams like those of the old version."""
 
-JUDGED_PART = 0.75
+EVALUATION_FRACTION = 0.75
 """Part of what may be spent until the completion that is spread over the whole time."""
 
-LAST_SECONDS = 5.0
-LAST_PART = 0.35
+RAMP_SECONDS = 5.0
+RAMP_FRACTION = 0.35
 """How long before the completion the rest is spent: seconds, and part of the time limit
 at most. What runs there need not end with the old upstreams."""
 
-SAFE_PART = 0.95
+SAFETY_FRACTION = 0.95
 """Part of the bounds that is used at all."""
 
-LEAST_REST = 0.6
-REST_PART = 0.04
+MIN_COMPLETION_MARGIN = 0.6
+COMPLETION_MARGIN_FRACTION = 0.04
 """Time kept between completion and time limit: seconds, and part of the limit."""
 
-BURST = 1.3
+BURST_FACTOR = 1.3
 """How many times the mean rate of requests is expected between completion and limit."""
 
-LEAST_ANSWERS = 12
+MIN_RESPONSES = 12
 """Answers of the new version without which it isn't given all requests."""
 
-DOUBT = 0.7
+DOUBT_FRACTION = 0.7
 """Part of the threshold from which a version is reverted at the end of its time."""
 
 
@@ -74,9 +74,9 @@
     why: str
 
 
-def completes_at(duration: float) -> float:
+def completion_time(duration: float) -> float:
     """Return when a rollout is completed, in seconds since its order."""
-    return duration - max(LEAST_REST, REST_PART * duration)
+    return duration - max(MIN_COMPLETION_MARGIN, COMPLETION_MARGIN_FRACTION * duration)
 
 
 def most_exposed(progress: Progress, bounds: RolloutBounds) -> int:
@@ -85,45 +85,51 @@
     It gets some at once and pulses of more, evenly until the completion; in the last
     seconds, without pulses, also what was not planned for judging it.
     """
-    until = completes_at(progress.duration)
-    in_all = _spent_at_completion(progress, until, bounds)
-    start = max(0.0, min(START_REQUESTS, in_all, SAFE_PART * bounds.tolerance))
-    judged = max(0.0, JUDGED_PART * in_all - start)
-    planned = judged * progress.elapsed / until
-    last = min(LAST_SECONDS, LAST_PART * progress.duration)
-    into_last = (progress.elapsed - (until - last)) / last
-    if into_last < 0:
-        pulse = min(max(judged / PULSES, LEAST_PULSE), MOST_PULSE)
-        planned = pulse * math.floor(planned / pulse)
+    completion = completion_time(progress.duration)
+    budget = _budget_until_completion(progress, completion, bounds)
+    initial = max(
+        0.0, min(INITIAL_REQUESTS, budget, SAFETY_FRACTION * bounds.tolerance)
+    )
+    paced_total = max(0.0, EVALUATION_FRACTION * budget - initial)
+    released = paced_total * progress.elapsed / completion
+    ramp_seconds = min(RAMP_SECONDS, RAMP_FRACTION * progress.duration)
+    ramp_progress = (progress.elapsed - (completion - ramp_seconds)) / ramp_seconds
+    if ramp_progress < 0:
+        batch = min(max(paced_total / BATCHES, MIN_BATCH), MAX_BATCH)
+        released = batch * math.floor(released / batch)
     else:
-        planned += (in_all - start - judged) * min(1.0, into_last)
-    so_far = SAFE_PART * (bounds.fraction * progress.reached + bounds.tolerance)
-    return math.floor(max(0.0, min(so_far, start + planned)))
+        released += (budget - initial - paced_total) * min(1.0, ramp_progress)
+    current_bound = SAFETY_FRACTION * (
+        bounds.fraction * progress.reached + bounds.tolerance
+    )
+    return math.floor(max(0.0, min(current_bound, initial + released)))
 
 
-def _spent_at_completion(
-    progress: Progress, until: float, bounds: RolloutBounds
+def _budget_until_completion(
+    progress: Progress, completion: float, bounds: RolloutBounds
 ) -> float:
     """Return the bound less what will reach the service after the completion."""
     rate = progress.reached / max(progress.elapsed, 1.0)
-    reached = max(progress.reached, rate * until)
-    rest = progress.duration - until
-    reserved = BURST * rate * rest * (1 - bounds.fraction)
-    return SAFE_PART * (bounds.fraction * reached + bounds.tolerance) - reserved
+    reached = max(progress.reached, rate * completion)
+    rest = progress.duration - completion
+    reserved = BURST_FACTOR * rate * rest * (1 - bounds.fraction)
+    return SAFETY_FRACTION * (bounds.fraction * reached + bounds.tolerance) - reserved
 
 
-def next_step(progress: Progress, weigh: Weigh = weigh_by_mixture) -> Step | None:
+def next_step(
+    progress: Progress, weigh: WeighEvidence = weigh_by_mixture
+) -> Step | None:
     """Return what a rollout goes on to, None when it stays where it is."""
-    worst = find_worst(progress.counts_by_cell, weigh)
+    worst = find_strongest(progress.counts_by_cell, weigh)
     weight = worst.weight if worst is not None else 0.0
-    if worst is not None and weight >= threshold():
+    if worst is not None and weight >= revert_threshold():
         return Step(Phase.REVERTED, worst.describe())
-    answered = answers(progress.counts_by_cell).trials
-    if progress.elapsed >= completes_at(progress.duration):
-        if answered < LEAST_ANSWERS:
-            text = f"{answered} answers of {LEAST_ANSWERS} within its time limit"
+    answered = count_responses(progress.counts_by_cell).trials
+    if progress.elapsed >= completion_time(progress.duration):
+        if answered < MIN_RESPONSES:
+            text = f"{answered} answers of {MIN_RESPONSES} within its time limit"
             return Step(Phase.REVERTED, text)
-        if worst is not None and weight >= DOUBT * threshold():
+        if worst is not None and weight >= DOUBT_FRACTION * revert_threshold():
             return Step(Phase.REVERTED, f"in doubt at the end: {worst.describe()}")
         left = "unknown" if progress.old_running is None else progress.old_running
         text = f"{answered} answers; still running on the old version: {left}"
--- a/bitterntiller/components/rollouts/reporter.py
+++ b/bitterntiller/components/rollouts/reporter.py
@@ -7,8 +7,8 @@
 
 from bitterntiller.components.rollouts.const import (
     ALLOWANCE_SECONDS,
+    MAX_ALLOWED,
     METRIC_EXPOSED,
-    MOST_ALLOWED,
     REPORT_PERIOD,
     REPORT_TIMEOUT,
     STATUS_ABSENT,
@@ -101,7 +101,7 @@
             reached=trial.reached,
             exposed=trial.exposed,
             old_running=trial.old_running,
-            wanted=max(0, MOST_ALLOWED - pool.rollout.allowance_left),
+            wanted=max(0, MAX_ALLOWED - pool.rollout.allowance_left),
             evidence=[
                 messages.EvidenceItem(
                     second=cell.second,
--- a/bitterntiller/components/rollouts/state.py
+++ b/bitterntiller/components/rollouts/state.py
@@ -7,11 +7,11 @@
 from typing import Any
 
 from bitterntiller.components.rollouts.const import (
-    DRAINED_SECONDS,
+    DUPLICATE_ORDER_SECONDS,
     LABEL_VERSION,
     MAX_CELLS,
     MAX_SERVICES,
-    REPEAT_SECONDS,
+    OLD_RUNNING_MAX_AGE,
     STATE_READY,
     STATUS_ABSENT,
     STATUS_ACCEPTED,
@@ -64,7 +64,7 @@
 
     def old_running(self, now_ms: int) -> int | None:
         """Return what runs on the old version, None when no owner has told of late."""
-        oldest = now_ms - DRAINED_SECONDS * 1000
+        oldest = now_ms - OLD_RUNNING_MAX_AGE * 1000
         told = [
             item for item in self.totals_by_owner.values() if item.told_ms >= oldest
         ]
@@ -173,7 +173,7 @@
         """
         known = self.by_service.get(order.pool)
         if known is not None and known.to == order.to:
-            recent = time_ms - known.ordered_ms <= REPEAT_SECONDS * 1000
+            recent = time_ms - known.ordered_ms <= DUPLICATE_ORDER_SECONDS * 1000
             if known.phase is not Phase.REVERTED or recent:
                 return reply(STATUS_ACCEPTED, known)
         if known is not None and known.phase.under_way:
--- a/tests/components/dispatch/test_rollouts.py
+++ b/tests/components/dispatch/test_rollouts.py
@@ -7,7 +7,7 @@
 from bitterntiller.components.dispatch import make_registered_scheduler
 from bitterntiller.components.dispatch.models import Granted
 from bitterntiller.components.dispatch.owned_pool import OwnedPool
-from bitterntiller.components.rollouts.const import CANARIES
+from bitterntiller.components.rollouts.const import CANARY_UPSTREAMS
 from bitterntiller.components.rollouts.models import ANY_VERSION, VersionRules
 from bitterntiller.protocol import messages
 from tests.components.dispatch import messages_builders as build
@@ -84,9 +84,9 @@
 def test_few_upstreams_get_all_canary_requests():
     """A fault under load never shows, since no upstream of the new version is busy."""
     owned = pool()
-    owned.renew_allowance(7, 4 * CANARIES, T0 + 1, T0)
+    owned.renew_allowance(7, 4 * CANARY_UPSTREAMS, T0 + 1, T0)
     granted = upstreams_of(register(owned, 40))
-    assert len({name for name in granted if name.startswith("new")}) == CANARIES
+    assert len({name for name in granted if name.startswith("new")}) == CANARY_UPSTREAMS
 
 
 def test_new_allowance_grants_requests_while_the_old_version_is_full():
--- a/tests/components/rollouts/test_judgement.py
+++ b/tests/components/rollouts/test_canary_analysis.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from bitterntiller.components.rollouts.judgement import (
-    Share,
-    find_worst,
-    threshold,
+from bitterntiller.components.rollouts.canary_analysis import (
+    Proportion,
+    find_strongest,
+    revert_threshold,
+    weigh_by_likelihood_ratio,
     weigh_by_mixture,
-    weigh_by_ratio,
 )
 from bitterntiller.components.rollouts.models import Cell, Counts
 from tests.components.rollouts.builders import evidence
@@ -17,12 +17,12 @@
 
 
 def weight(counts_by_cell) -> float:
-    found = find_worst(counts_by_cell)
+    found = find_strongest(counts_by_cell)
     return 0.0 if found is None else found.weight
 
 
 def is_bad(counts_by_cell) -> bool:
-    return weight(counts_by_cell) >= threshold()
+    return weight(counts_by_cell) >= revert_threshold()
 
 
 def test_sound_version_is_not_found_bad():
@@ -30,7 +30,7 @@
 
 
 def test_nothing_is_found_without_answers_of_the_new_version():
-    assert find_worst(evidence(SOUND, OLD, upstreams=0)) is None
+    assert find_strongest(evidence(SOUND, OLD, upstreams=0)) is None
 
 
 @pytest.mark.parametrize(
@@ -44,9 +44,9 @@
 )
 def test_fault_of_a_version_is_found(bad):
     """A version that fails or is slow on all its upstreams goes on to serve."""
-    found = find_worst(evidence(bad, OLD))
+    found = find_strongest(evidence(bad, OLD))
     assert found is not None
-    assert found.weight >= threshold()
+    assert found.weight >= revert_threshold()
     assert "all routes" in found.describe()
 
 
@@ -54,9 +54,9 @@
     """A version that fails on one route hides behind the others."""
     sound = evidence(SOUND._replace(answered=16), OLD, route="report")
     bad = evidence(SOUND._replace(answered=2, failed=1), OLD, route="tag")
-    found = find_worst(sound | bad)
+    found = find_strongest(sound | bad)
     assert found is not None
-    assert found.weight >= threshold()
+    assert found.weight >= revert_threshold()
     assert found.route == "tag"
 
 
@@ -93,8 +93,8 @@
     assert is_bad(counts_by_cell)
 
 
-@pytest.mark.parametrize("weigh", [weigh_by_ratio, weigh_by_mixture])
+@pytest.mark.parametrize("weigh", [weigh_by_likelihood_ratio, weigh_by_mixture])
 def test_weight_grows_with_the_share(weigh):
-    weights = [weigh(Share(hits, 20), 0.05) for hits in range(2, 20)]
+    weights = [weigh(Proportion(hits, 20), 0.05) for hits in range(2, 20)]
     assert weights == sorted(weights)
-    assert weigh(Share(1, 20), 0.05) < 1.0
+    assert weigh(Proportion(1, 20), 0.05) < 1.0
--- a/tests/components/rollouts/test_leader.py
+++ b/tests/components/rollouts/test_leader.py
@@ -6,7 +6,7 @@
 import curio
 import pytest
 
-from bitterntiller.components.rollouts.course import completes_at
+from bitterntiller.components.rollouts.progression import completion_time
 from bitterntiller.core.clock import ManualClock
 from bitterntiller.protocol import messages
 from tests.components.control.builders import make_change, make_control, make_document
@@ -109,7 +109,7 @@
     ]
     told = await tell(control, number=number, reached=200, evidence=evidence)
     assert told.allowed > 0
-    clock.advance(completes_at(12.0) + 0.01)
+    clock.advance(completion_time(12.0) + 0.01)
     await control.rollouts.async_judge()
     assert (await get(control)).phase == wanted
     assert (await tell(control, number=number, reached=400)).phase == wanted
--- a/tests/components/rollouts/test_course.py
+++ b/tests/components/rollouts/test_progression.py
@@ -4,13 +4,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bitterntiller.components.rollouts.course import (
+from bitterntiller.components.rollouts.models import Counts, Phase
+from bitterntiller.components.rollouts.progression import (
     Progress,
-    completes_at,
+    completion_time,
     most_exposed,
     next_step,
 )
-from bitterntiller.components.rollouts.models import Counts, Phase
 from bitterntiller.components.settings.models import RolloutBounds
 from tests.components.rollouts.builders import evidence
 
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize("duration", [6.0, 12.0, 30.0])
 def test_bound_holds_though_a_bad_version_is_completed(rate, duration):
     """A version that is found good and isn't gets more than its part by the limit."""
-    until = completes_at(duration)
+    until = completion_time(duration)
     before = most_exposed(progress(until, duration, int(rate * until)), BOUNDS)
     after = rate * (duration - until)
     assert before + after <= BOUNDS.fraction * rate * duration + BOUNDS.tolerance
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize("rate", [3, 30, 200])
 def test_exposure_suffices_to_judge(rate):
     """A version can't show that it is good, as it gets hardly any requests."""
-    until = completes_at(12.0)
+    until = completion_time(12.0)
     assert most_exposed(progress(until, 12.0, int(rate * until)), BOUNDS) >= 24
 
 
@@ -64,15 +64,15 @@
 
 
 def test_good_version_is_completed_within_its_time():
-    assert next_step(progress(completes_at(12.0) - 0.1)) is None
-    step = next_step(progress(completes_at(12.0)))
+    assert next_step(progress(completion_time(12.0) - 0.1)) is None
+    step = next_step(progress(completion_time(12.0)))
     assert step.phase is Phase.COMPLETE
-    assert completes_at(12.0) < 12.0
+    assert completion_time(12.0) < 12.0
 
 
 @pytest.mark.parametrize("counts", [{}, DOUBTFUL], ids=["no answers", "in doubt"])
 def test_version_that_has_not_shown_to_be_good_is_reverted(counts):
     """A version of which next to nothing is known gets all requests."""
     assert next_step(progress(6.0, counts=counts)) is None
-    step = next_step(progress(completes_at(12.0), counts=counts))
+    step = next_step(progress(completion_time(12.0), counts=counts))
     assert step.phase is Phase.REVERTED
--- a/tests/components/rollouts/test_state.py
+++ b/tests/components/rollouts/test_state.py
@@ -5,15 +5,15 @@
 from hypothesis import strategies as st
 
 from bitterntiller.components.control.state import ControlState
-from bitterntiller.components.rollouts.const import REPEAT_SECONDS
-from bitterntiller.components.rollouts.course import Progress, most_exposed
+from bitterntiller.components.rollouts.const import DUPLICATE_ORDER_SECONDS
 from bitterntiller.components.rollouts.models import Counts, Phase
+from bitterntiller.components.rollouts.progression import Progress, most_exposed
 from bitterntiller.components.settings.models import RolloutBounds
 from bitterntiller.protocol import messages
 from tests.components.control.builders import apply
 from tests.components.rollouts.builders import POOL, order, registered, report, step
 
-REPEAT_MS = int(REPEAT_SECONDS * 1000)
+REPEAT_MS = int(DUPLICATE_ORDER_SECONDS * 1000)
 
 
 def ordered(to="v2"):
