--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -115,7 +115,7 @@
         }
         self.trouble_at = self.rng.uniform(0, 0.7 * duration)
         self.trial = Trial(1)
-        self.trial.began = 0.0
+        self.trial.started_at = 0.0
         self.counts_by_cell: dict[Cell, Counts] = {}
         self.allotted = 0
         self.allowance = 0
@@ -172,7 +172,7 @@
     def _report(self, now: float) -> None:
         if not self.phase.under_way:
             return
-        self.trial.tick(now)
+        self.trial.count_overdue(now)
         self.counts_by_cell.update(self.trial.take_evidence())
         progress = Progress(
             now,
@@ -196,13 +196,13 @@
         self.reached += 1
         draw = self.rng.random()
         route, mean = _drawn(draw)
-        self.trial.note_reached(route)
+        self.trial.record_arrival(route)
         name = self._choose(route, now)
         is_new = name.startswith("new")
         number = next(self.numbers)
         if is_new:
             self.last_sent = now
-        self.trial.note_sent(str(number), route, name if is_new else "", True, now)
+        self.trial.record_sent(str(number), route, name if is_new else "", True, now)
         self.running_by_name[name] += 1
         failed, seconds = self._run(name, route, mean, now)
         sent = (now + seconds, number, name, failed, seconds, now)
@@ -213,7 +213,7 @@
         if self.phase is Phase.COMPLETE:
             return min(self.new, key=self.running_by_name.__getitem__)
         judged = self.phase.under_way and self.allowance > 0
-        if judged and self.trial.is_due(route):
+        if judged and self.trial.is_below_route_share(route):
             canaries = self._up(self.canaries, now)
             if canaries:
                 self.allowance -= 1
@@ -263,7 +263,7 @@
             if failed and name.startswith("new"):
                 self.bad_answers.append(at)
             first = 0.3 * seconds
-            self.trial.note_end(str(number), failed, first, seconds)
+            self.trial.record_end(str(number), failed, first, seconds)
 
 
 def _drawn(draw: float) -> tuple[str, float]:
--- a/bitterntiller/components/control/state.py
+++ b/bitterntiller/components/control/state.py
@@ -53,17 +53,19 @@
         if message.upstreams is not None:
             self.upstreams.apply(index, message.upstreams)
             if message.settle_versions:
-                self.rollouts.follow(index, self.upstreams.by_name)
+                self.rollouts.update_serving_versions(index, self.upstreams.by_name)
         self._apply_rollouts(index, message, result)
         return result
 
     def _apply_rollouts(self, index: int, message: Any, result: Any) -> None:
         if message.rollout is not None:
-            result.rollout = self.rollouts.order(index, message.rollout, self.time_ms)
+            result.rollout = self.rollouts.start_rollout(
+                index, message.rollout, self.time_ms
+            )
         if message.rollout_report is not None:
-            result.rollout_report = self.rollouts.report(message.rollout_report)
+            result.rollout_report = self.rollouts.record_report(message.rollout_report)
         if message.rollout_step is not None:
-            self.rollouts.step(index, message.rollout_step, self.time_ms)
+            self.rollouts.apply_step(index, message.rollout_step, self.time_ms)
 
     def snapshot(self) -> bytes:
         """Return the whole state as JSON."""
--- a/bitterntiller/components/dispatch/pool_trial.py
+++ b/bitterntiller/components/dispatch/pool_trial.py
@@ -95,7 +95,7 @@
     def note_registered(self, request: WaitingRequest, now: float) -> None:
         """Count a new request; one that has waited at another owner is not new."""
         if self.trial is not None and now - request.arrived <= NEW_SECONDS:
-            self.trial.note_reached(request.route)
+            self.trial.record_arrival(request.route)
 
     def note_granted(
         self, decision: Granted, route: str, version: str, now: float
@@ -106,34 +106,34 @@
         name = decision.upstream
         is_candidate = version == self._rules.candidate
         warm = now >= self._warm_at_by_upstream.get(name, now)
-        self.trial.note_sent(
+        self.trial.record_sent(
             decision.request_id, route, name if is_candidate else "", warm, now
         )
 
     def note_progress(self, item: messages.ProgressItem) -> None:
         """Record the time to the first output of a running request, if reported."""
         if self.trial is not None and item.first_ms is not None:
-            self.trial.note_first(item.request_id, item.first_ms / 1000)
+            self.trial.record_first_output(item.request_id, item.first_ms / 1000)
 
     def note_finished(self, end: Completion) -> None:
         """Record the end of a granted request."""
         if self.trial is None:
             return
         if end.outcome in (OUTCOME_CALLER_GONE, OUTCOME_REJECTED):
-            self.trial.forget(end.request_id)
+            self.trial.discard(end.request_id)
             return
         failed = end.outcome != OUTCOME_DONE
-        self.trial.note_end(end.request_id, failed, end.first_token, end.total)
+        self.trial.record_end(end.request_id, failed, end.first_token, end.total)
 
     def note_returned(self, request_id: str, reason: str) -> None:
         """Record the return of a grant; failures count against the version."""
         if self.trial is None:
             return
         if reason in FAILURES:
-            self.trial.note_end(request_id, True, None, 0.0)
-        self.trial.forget(request_id)
+            self.trial.record_end(request_id, True, None, 0.0)
+        self.trial.discard(request_id)
 
     def forget(self, request_id: str) -> None:
         """Remove a request."""
         if self.trial is not None:
-            self.trial.forget(request_id)
+            self.trial.discard(request_id)
--- a/bitterntiller/components/rollouts/leader.py
+++ b/bitterntiller/components/rollouts/leader.py
@@ -30,14 +30,14 @@
     most_exposed,
     next_step,
 )
-from bitterntiller.components.rollouts.state import Rollout, RolloutsState, reply
+from bitterntiller.components.rollouts.state import Rollout, RolloutsState, make_reply
 from bitterntiller.components.settings.models import RolloutBounds
 from bitterntiller.core import events
 from bitterntiller.core.interfaces import Metrics
 from bitterntiller.protocol import messages
 
 
-class Proposing(Protocol):
+class Proposer(Protocol):
     """Puts commands into control's log."""
 
     async def async_propose(self, **content: Any) -> Any:
@@ -57,11 +57,11 @@
     def __init__(
         self,
         state: RolloutsState,
-        proposer: Proposing,
+        proposer: Proposer,
         bounds: RolloutBounds,
         metrics: Metrics,
         cluster_ms: Callable[[], int | None],
-        async_confirmed: Callable[[], Awaitable[bool]],
+        async_confirm_leadership: Callable[[], Awaitable[bool]],
         services: Callable[[], frozenset[str]],
         leader_address: Callable[[], str],
     ) -> None:
@@ -70,21 +70,21 @@
         self._bounds = bounds
         self._metrics = metrics
         self._cluster_ms = cluster_ms
-        self._async_confirmed = async_confirmed
+        self._async_confirm_leadership = async_confirm_leadership
         self._services = services
         self._leader_address = leader_address
 
     async def async_start_rollout(self, _sender: str, order: Any) -> Any:
         """Answer a messages.StartRollout; accepted only once it is committed."""
         if self._cluster_ms() is None:
-            return self._answer(reply(STATUS_NOT_LEADER, None))
+            return self._with_leader(make_reply(STATUS_NOT_LEADER, None))
         try:
             self._check(order)
         except OrderError as error:
             self._metrics.count(f"{METRIC_ORDERS}.{STATUS_INVALID}")
-            return self._answer(reply(STATUS_INVALID, None, error.text))
+            return self._with_leader(make_reply(STATUS_INVALID, None, error.text))
         proposed = await self._proposer.async_propose(rollout=order)
-        found = reply(proposed.status, None)
+        found = make_reply(proposed.status, None)
         if proposed.result is not None:
             found = proposed.result.rollout
         self._metrics.count(f"{METRIC_ORDERS}.{found.status}")
@@ -97,7 +97,7 @@
             number=found.number,
             why=found.text,
         )
-        return self._answer(found)
+        return self._with_leader(found)
 
     def _check(self, order: Any) -> None:
         """Raise OrderError for an order that no state of the service would allow."""
@@ -111,15 +111,15 @@
 
     async def async_get_rollout(self, _sender: str, request: Any) -> Any:
         """Answer a messages.GetRollout with what is newest; all for an empty pool."""
-        if self._cluster_ms() is None or not await self._async_confirmed():
-            return self._answer(reply(STATUS_NOT_LEADER, None))
+        if self._cluster_ms() is None or not await self._async_confirm_leadership():
+            return self._with_leader(make_reply(STATUS_NOT_LEADER, None))
         if request.pool:
-            return self._answer(self._state.find(request.pool))
-        found = reply(STATUS_OK, None)
+            return self._with_leader(self._state.find(request.pool))
+        found = make_reply(STATUS_OK, None)
         found.document = json.dumps(
             describe_rollouts(self._state, self._bounds)
         ).encode()
-        return self._answer(found)
+        return self._with_leader(found)
 
     async def async_report(self, _sender: str, report: Any) -> Any:
         """Answer a messages.RolloutReport of an owner, with an allowance."""
@@ -128,7 +128,7 @@
         if now_ms is None:
             return self._refuse_report(STATUS_NOT_LEADER)
         if rollout is None or rollout.number != report.number:
-            return self._state.report(report)
+            return self._state.record_report(report)
         report.told_ms = now_ms
         progress = _progress(rollout, now_ms)
         report.cap = most_exposed(progress, self._bounds)
@@ -144,7 +144,7 @@
             status=status, allowed=0, leader=self._leader_address()
         )
 
-    def _answer(self, found: Any) -> Any:
+    def _with_leader(self, found: Any) -> Any:
         found.leader = self._leader_address()
         return found
 
@@ -152,13 +152,13 @@
         """Judge the rollouts under way, until cancelled."""
         while True:
             await curio.sleep(EVALUATION_PERIOD if self._under_way() else IDLE_PERIOD)
-            await self.async_judge()
+            await self.async_evaluate()
 
     def _under_way(self) -> list[Rollout]:
         rollouts = self._state.by_service.values()
         return [rollout for rollout in rollouts if rollout.phase.under_way]
 
-    async def async_judge(self) -> None:
+    async def async_evaluate(self) -> None:
         """Commit the verdicts that are due."""
         under_way = self._under_way()
         now_ms = self._cluster_ms() if under_way else None
--- a/bitterntiller/components/rollouts/reporter.py
+++ b/bitterntiller/components/rollouts/reporter.py
@@ -33,14 +33,14 @@
         ...
 
 
-class TriedPool(Protocol):
+class PoolInRollout(Protocol):
     """A pool of which this process is the owner."""
 
     name: str
     rollout: PoolRollout
 
 
-class PoolsOwner(Protocol):
+class RolloutPools(Protocol):
     """The owner of some pools."""
 
     @property
@@ -67,7 +67,7 @@
     """Sends the counts of each trial, and takes the allowance that comes back."""
 
     def __init__(
-        self, runtime: Runtime, owner: PoolsOwner, control: ControlCalls
+        self, runtime: Runtime, owner: RolloutPools, control: ControlCalls
     ) -> None:
         self._clock = runtime.clock
         self._metrics = runtime.metrics
@@ -79,20 +79,20 @@
         """Report until cancelled."""
         while True:
             pools = list(self._owner.pools_by_name.values())
-            tried = [pool for pool in pools if pool.rollout.trial is not None]
-            if not tried:
+            in_rollout = [pool for pool in pools if pool.rollout.trial is not None]
+            if not in_rollout:
                 await self._owner.async_wait_for_trial()
             await curio.sleep(REPORT_PERIOD)
-            for pool in tried:
+            for pool in in_rollout:
                 trial = pool.rollout.trial
                 # Where entry hosts choose their owners, any host may own any pool.
                 if trial is not None and trial.reached:
                     await self.async_report(pool, trial)
 
-    async def async_report(self, pool: TriedPool, trial: Trial) -> None:
+    async def async_report(self, pool: PoolInRollout, trial: Trial) -> None:
         """Report one trial, and renew its allowance."""
         sent_at = self._clock.now()
-        trial.tick(sent_at)
+        trial.count_overdue(sent_at)
         evidence = trial.take_evidence()
         message = messages.RolloutReport(
             pool=pool.name,
@@ -114,25 +114,25 @@
         )
         reply = await self._control.async_call_leader(message, REPORT_TIMEOUT)
         if reply is None or reply.status not in (STATUS_OK, STATUS_ABSENT):
-            trial.put_back(evidence)
+            trial.requeue_evidence(evidence)
             return
         if reply.status == STATUS_ABSENT or reply.phase != Phase.JUDGED:
             await self._owner.async_end_trial(
                 pool, trial.number, reply.phase == Phase.COMPLETE
             )
             return
-        if trial.began is None:
-            trial.began = sent_at - (reply.elapsed_ms or 0) / 1000
+        if trial.started_at is None:
+            trial.started_at = sent_at - (reply.elapsed_ms or 0) / 1000
         await self._owner.async_renew_allowance(
             pool, trial.number, reply.allowed, sent_at + ALLOWANCE_SECONDS
         )
-        self._note_exposed(pool, trial, reply.allowed)
+        self._emit_exposure(pool, trial, reply.allowed)
 
-    def _note_exposed(self, pool: TriedPool, trial: Trial, allowed: int) -> None:
-        more = trial.exposed - trial.told_exposed
+    def _emit_exposure(self, pool: PoolInRollout, trial: Trial, allowed: int) -> None:
+        more = trial.exposed - trial.reported_exposed
         if not more and not allowed:
             return
-        trial.told_exposed = trial.exposed
+        trial.reported_exposed = trial.exposed
         self._metrics.count(METRIC_EXPOSED, more)
         events.emit(
             "rollout-exposure",
--- a/bitterntiller/components/rollouts/state.py
+++ b/bitterntiller/components/rollouts/state.py
@@ -79,7 +79,7 @@
                 found[cell] = counts if known is None else known.plus(counts)
         return found
 
-    def note(self, report: Any) -> None:
+    def record(self, report: Any) -> None:
         """Take a messages.RolloutReport; its counts replace earlier ones."""
         self.totals_by_owner[report.owner] = Totals(
             report.reached, report.exposed, report.old_running, report.told_ms or 0
@@ -165,7 +165,7 @@
             rules.append(messages.ServiceVersionRules(pool=service, **found._asdict()))
         return messages.VersionRulesList(version=self.version, rules=rules)
 
-    def order(self, index: int, order: Any, time_ms: int) -> Any:
+    def start_rollout(self, index: int, order: Any, time_ms: int) -> Any:
         """Decide a messages.StartRollout; return a messages.RolloutReply.
 
         An order that is sent again hears what the first one heard: confirmations are
@@ -175,27 +175,27 @@
         if known is not None and known.to == order.to:
             recent = time_ms - known.ordered_ms <= DUPLICATE_ORDER_SECONDS * 1000
             if known.phase is not Phase.REVERTED or recent:
-                return reply(STATUS_ACCEPTED, known)
+                return make_reply(STATUS_ACCEPTED, known)
         if known is not None and known.phase.under_way:
             text = f"the rollout of {order.pool} to {known.to} is under way"
-            return reply(STATUS_CONFLICT, known, text)
+            return make_reply(STATUS_CONFLICT, known, text)
         if self.serving_by_service.get(order.pool) == order.to:
             text = f"{order.pool} is served by version {order.to} already"
-            return reply(STATUS_INVALID, known, text)
+            return make_reply(STATUS_INVALID, known, text)
         if known is None and len(self.by_service) >= MAX_SERVICES:
             text = f"rollouts of {MAX_SERVICES} services are kept at most"
-            return reply(STATUS_INVALID, None, text)
+            return make_reply(STATUS_INVALID, None, text)
         rollout = Rollout(index, order.pool, order.to, time_ms, order.duration_ms)
         self.by_service[order.pool] = rollout
         self.version = index
-        return reply(STATUS_ACCEPTED, rollout)
+        return make_reply(STATUS_ACCEPTED, rollout)
 
     def find(self, service: str) -> Any:
         """Return the messages.RolloutReply of a service's last rollout."""
         known = self.by_service.get(service)
-        return reply(STATUS_ABSENT if known is None else STATUS_OK, known)
+        return make_reply(STATUS_ABSENT if known is None else STATUS_OK, known)
 
-    def step(self, index: int, step: Any, time_ms: int) -> None:
+    def apply_step(self, index: int, step: Any, time_ms: int) -> None:
         """Take a messages.RolloutStep, unless the rollout has gone on meanwhile.
 
         A late one of a deposed leader finds a verdict, or another rollout.
@@ -212,7 +212,7 @@
             self.serving_by_service[rollout.service] = rollout.to
         self.version = index
 
-    def report(self, report: Any) -> Any:
+    def record_report(self, report: Any) -> Any:
         """Take a messages.RolloutReport; return its messages.RolloutReportReply.
 
         The allowance is given here and not by the leader alone: of two leaders at once
@@ -223,14 +223,16 @@
             return messages.RolloutReportReply(status=STATUS_ABSENT, allowed=0)
         allowed = 0
         if rollout.phase.under_way:
-            rollout.note(report)
+            rollout.record(report)
             allowed = max(0, min(report.wanted, (report.cap or 0) - rollout.allotted))
             rollout.allotted += allowed
         return messages.RolloutReportReply(
             status=STATUS_OK, allowed=allowed, phase=rollout.phase
         )
 
-    def follow(self, index: int, upstreams_by_name: dict[str, Any]) -> None:
+    def update_serving_versions(
+        self, index: int, upstreams_by_name: dict[str, Any]
+    ) -> None:
         """Settle which version serves a service, from the upstreams registered now.
 
         The first version that registers does, and one that nobody ordered only once no
@@ -244,9 +246,9 @@
                 ready_by_service.setdefault(item.pool, set()).add(version)
         for service, ready in ready_by_service.items():
             if self.serving_by_service.get(service) not in ready:
-                self._adopt(index, service, ready)
+                self._adopt_version(index, service, ready)
 
-    def _adopt(self, index: int, service: str, ready: set[str]) -> None:
+    def _adopt_version(self, index: int, service: str, ready: set[str]) -> None:
         rollout = self.by_service.get(service)
         if rollout is not None:
             if rollout.phase.under_way:
@@ -272,7 +274,7 @@
         self.by_service = {item.service: item for item in found}
 
 
-def reply(status: str, rollout: Rollout | None, text: str = "") -> Any:
+def make_reply(status: str, rollout: Rollout | None, text: str = "") -> Any:
     """Return a messages.RolloutReply; the leader is told by whoever sends it."""
     if rollout is None:
         return messages.RolloutReply(status=status, leader="", text=text)
--- a/tests/components/dispatch/test_rollouts.py
+++ b/tests/components/dispatch/test_rollouts.py
@@ -118,7 +118,7 @@
 def test_retried_failure_counts_against_the_version():
     """A version passes because retries hide its failures."""
     owned = pool()
-    owned.rollout.trial.began = T0
+    owned.rollout.trial.started_at = T0
     owned.renew_allowance(7, 1, T0 + 1, T0)
     register(owned, 1)
     owned.returned(
--- a/tests/components/rollouts/test_leader.py
+++ b/tests/components/rollouts/test_leader.py
@@ -110,7 +110,7 @@
     told = await tell(control, number=number, reached=200, evidence=evidence)
     assert told.allowed > 0
     clock.advance(completion_time(12.0) + 0.01)
-    await control.rollouts.async_judge()
+    await control.rollouts.async_evaluate()
     assert (await get(control)).phase == wanted
     assert (await tell(control, number=number, reached=400)).phase == wanted
 
@@ -129,7 +129,7 @@
     ]
     await tell(control, number=number, reached=20, evidence=evidence)
     log.term = 2
-    await control.rollouts.async_judge()
+    await control.rollouts.async_evaluate()
     assert (await get(control)).phase == "reverted"
 
 
--- a/tests/components/rollouts/test_trial.py
+++ b/tests/components/rollouts/test_trial.py
@@ -9,8 +9,8 @@
 def answered_by_old(trial, count, seconds=1.0, at=T0):
     for number in range(count):
         name = f"old{at}-{number}"
-        trial.note_sent(name, "r", "", True, at)
-        trial.note_end(name, False, seconds / 2, seconds)
+        trial.record_sent(name, "r", "", True, at)
+        trial.record_end(name, False, seconds / 2, seconds)
 
 
 def totals(trial):
@@ -23,7 +23,7 @@
 
 def begun():
     trial = Trial(7)
-    trial.began = T0
+    trial.started_at = T0
     return trial
 
 
@@ -31,17 +31,17 @@
     trial = Trial(7)
     answered_by_old(trial, 3)
     assert trial.take_evidence() == {}
-    trial.began = T0 - 2.5
+    trial.started_at = T0 - 2.5
     assert trial.take_evidence() == {Cell(3, "r", ""): Counts(3, 0, 0, 0, 0, 0)}
 
 
 def test_slow_answers_of_the_new_version_are_counted():
     trial = begun()
     answered_by_old(trial, 20)
-    trial.note_sent("a", "r", "n1", True, T0 + 2)
-    trial.note_end("a", False, 0.5, 1.0)
-    trial.note_sent("b", "r", "n1", True, T0 + 2)
-    trial.note_end("b", False, 2.0, 4.0)
+    trial.record_sent("a", "r", "n1", True, T0 + 2)
+    trial.record_end("a", False, 0.5, 1.0)
+    trial.record_sent("b", "r", "n1", True, T0 + 2)
+    trial.record_end("b", False, 2.0, 4.0)
     assert totals(trial)["n1"] == Counts(2, 0, 2, 1, 2, 1)
 
 
@@ -49,10 +49,10 @@
     """A version that hangs is judged by its fast answers only."""
     trial = begun()
     answered_by_old(trial, 20)
-    trial.note_sent("a", "r", "n1", True, T0 + 2)
-    trial.tick(T0 + 4.6)
+    trial.record_sent("a", "r", "n1", True, T0 + 2)
+    trial.count_overdue(T0 + 4.6)
     assert totals(trial)["n1"] == Counts(0, 0, 1, 1, 1, 1)
-    trial.note_end("a", True, None, 9.0)
+    trial.record_end("a", True, None, 9.0)
     assert totals(trial)["n1"] == Counts(1, 1, 1, 1, 1, 1)
 
 
@@ -60,19 +60,19 @@
     """A sound version is reverted, as reports of first outputs come twice a second."""
     trial = begun()
     answered_by_old(trial, 20, seconds=0.2)
-    trial.note_sent("a", "r", "n1", True, T0 + 2)
-    trial.tick(T0 + 2.6)
-    trial.note_first("a", 0.1)
-    trial.note_end("a", False, 0.1, 0.2)
+    trial.record_sent("a", "r", "n1", True, T0 + 2)
+    trial.count_overdue(T0 + 2.6)
+    trial.record_first_output("a", 0.1)
+    trial.record_end("a", False, 0.1, 0.2)
     assert totals(trial)["n1"] == Counts(1, 0, 1, 0, 1, 0)
 
 
 def test_request_sent_before_it_is_known_what_is_slow_is_not_judged():
     """The slow ones of the first requests count, and the fast ones don't."""
     trial = begun()
-    trial.note_sent("a", "r", "n1", True, T0)
+    trial.record_sent("a", "r", "n1", True, T0)
     answered_by_old(trial, 20)
-    trial.tick(T0 + 30)
+    trial.count_overdue(T0 + 30)
     assert "n1" not in totals(trial)
 
 
@@ -80,8 +80,8 @@
     """An upstream that has just started reverts a sound version."""
     trial = begun()
     answered_by_old(trial, 20)
-    trial.note_sent("a", "r", "n1", False, T0 + 2)
-    trial.note_end("a", False, 5.0, 9.0)
+    trial.record_sent("a", "r", "n1", False, T0 + 2)
+    trial.record_end("a", False, 5.0, 9.0)
     assert totals(trial)["n1"] == Counts(1, 0, 0, 0, 0, 0)
 
 
@@ -91,7 +91,7 @@
     answered_by_old(trial, 3)
     lost = trial.take_evidence()
     assert trial.take_evidence() == {}
-    trial.put_back(lost)
+    trial.requeue_evidence(lost)
     assert trial.take_evidence() == lost
 
 
@@ -99,8 +99,8 @@
     """An owner's process stops when control has no leader at its first report."""
     trial = Trial(7)
     answered_by_old(trial, 3)
-    trial.put_back(trial.take_evidence())
-    trial.began = T0
+    trial.requeue_evidence(trial.take_evidence())
+    trial.started_at = T0
     assert totals(trial)[""].answered == 3
 
 
@@ -112,10 +112,10 @@
     taken = {"common": 0, "rare": 0}
     for number in range(200):
         route = "rare" if number % 5 == 4 else "common"
-        trial.note_reached(route)
+        trial.record_arrival(route)
         if allowance.take(route, T0):
             taken[route] += 1
-            trial.note_sent(str(number), route, "n1", True, T0)
+            trial.record_sent(str(number), route, "n1", True, T0)
     assert sum(taken.values()) == 40
     assert taken["rare"] >= 6
 
