--- a/bench/replication.py
+++ b/bench/replication.py
@@ -108,7 +108,7 @@
     settings = settings_of(host, folder, bootstrap, every)
     clock, timer = RuntimeClock(), Timer()
     runtime = Runtime(settings, clock, timer)
-    own = Peer(host, runtime.incarnation, str(settings.listen.reached_at))
+    own = Peer(host, runtime.incarnation, str(settings.listen.peer_address))
     runtime.links = LinkCoordinator(
         own, settings.listen.internal, settings.keys.internal, clock, timer
     )
--- a/bitterntiller/components/config/models.py
+++ b/bitterntiller/components/config/models.py
@@ -44,7 +44,7 @@
     match: dict[str, tuple[str, ...]] = {}
     exclude: dict[str, tuple[str, ...]] = {}
 
-    def chooses(self, labels: dict[str, str]) -> bool:
+    def matches(self, labels: dict[str, str]) -> bool:
         """Tell whether an upstream with these labels is chosen."""
         if any(labels.get(key) not in values for key, values in self.match.items()):
             return False
@@ -87,7 +87,7 @@
     shares: tuple[Share, ...]
     timeout: float
     objective: float
-    pause: float
+    target_output_interval: float
     patience: float
     max_attempts: int
     rank: int
--- a/bitterntiller/components/config/selectors.py
+++ b/bitterntiller/components/config/selectors.py
@@ -16,7 +16,7 @@
     labels: Mapping[str, str]
 
 
-class _Place(NamedTuple):
+class _LocatedSelector(NamedTuple):
     """Where a selector stands, and which services' upstreams it chooses from."""
 
     path: KeyPath
@@ -32,8 +32,8 @@
     """
     if not config.values_by_label:
         return
-    for place in _places(config):
-        for path, label, values in _uses(place):
+    for located in _located_selectors(config):
+        for path, label, values in _labels_used(located):
             known = config.values_by_label.get(label)
             if known is None:
                 yield Problem(path, f"unknown label {label}")
@@ -48,18 +48,20 @@
     config: Config, upstreams: list[LabelledUpstream]
 ) -> Iterator[Problem]:
     """Yield labels that no upstream has, and selectors that choose none."""
-    for place in _places(config):
-        candidates = [item for item in upstreams if item.service in place.services]
+    for located in _located_selectors(config):
+        candidates = [item for item in upstreams if item.service in located.services]
         known = {label for item in candidates for label in item.labels}
-        for path, label, _ in _uses(place):
+        for path, label, _ in _labels_used(located):
             if label not in known:
                 yield Problem(path, f"no upstream has the label {label}")
-    yield from _find_empty(config, upstreams)
+    yield from _find_unmatched_selectors(config, upstreams)
 
 
-def _find_empty(config: Config, upstreams: list[LabelledUpstream]) -> Iterator[Problem]:
+def _find_unmatched_selectors(
+    config: Config, upstreams: list[LabelledUpstream]
+) -> Iterator[Problem]:
     upstreams_by_service = {
-        name: _chosen_by_service(service, upstreams)
+        name: _upstreams_of_service(service, upstreams)
         for name, service in config.services_by_name.items()
     }
     for name, chosen in upstreams_by_service.items():
@@ -68,14 +70,16 @@
             yield Problem(path, "matches no upstream of the service")
     every = [item for chosen in upstreams_by_service.values() for item in chosen]
     for name, tier in config.tiers_by_name.items():
-        if every and not _choose(tier.selector, every):
+        if every and not _matching_upstreams(tier.selector, every):
             path = (const.CONF_TIERS, name, const.CONF_SELECTOR)
             yield Problem(path, "matches no upstream of any service")
     for name in config.workspaces_by_name:
-        yield from _find_empty_workspace(config, name, upstreams_by_service)
+        yield from _find_unmatched_workspace_selector(
+            config, name, upstreams_by_service
+        )
 
 
-def _find_empty_workspace(
+def _find_unmatched_workspace_selector(
     config: Config,
     name: str,
     upstreams_by_service: dict[str, list[LabelledUpstream]],
@@ -86,42 +90,46 @@
     path = (const.CONF_WORKSPACES, name, const.CONF_SELECTOR)
     for service in workspace.services:
         offered = upstreams_by_service[service]
-        chosen = _choose(workspace.selector, offered)
+        chosen = _matching_upstreams(workspace.selector, offered)
         if offered and not chosen:
             yield Problem(path, f"matches no upstream of service {service}")
-        elif chosen and not _choose(tier.selector, chosen):
+        elif chosen and not _matching_upstreams(tier.selector, chosen):
             text = f"with the selector of tier {tier.name}, matches no upstream of"
             yield Problem(path, f"{text} service {service}")
 
 
-def _chosen_by_service(
+def _upstreams_of_service(
     service: Service, upstreams: list[LabelledUpstream]
 ) -> list[LabelledUpstream]:
     own = [item for item in upstreams if item.service == service.name]
-    return _choose(service.selector, own)
+    return _matching_upstreams(service.selector, own)
 
 
-def _choose(
+def _matching_upstreams(
     selector: Selector, upstreams: list[LabelledUpstream]
 ) -> list[LabelledUpstream]:
-    return [item for item in upstreams if selector.chooses(dict(item.labels))]
+    return [item for item in upstreams if selector.matches(dict(item.labels))]
 
 
-def _places(config: Config) -> Iterator[_Place]:
+def _located_selectors(config: Config) -> Iterator[_LocatedSelector]:
     everywhere = tuple(config.services_by_name)
     key = const.CONF_SELECTOR
     for name, service in config.services_by_name.items():
-        yield _Place((const.CONF_SERVICES, name, key), service.selector, (name,))
+        yield _LocatedSelector(
+            (const.CONF_SERVICES, name, key), service.selector, (name,)
+        )
     for name, tier in config.tiers_by_name.items():
-        yield _Place((const.CONF_TIERS, name, key), tier.selector, everywhere)
+        yield _LocatedSelector((const.CONF_TIERS, name, key), tier.selector, everywhere)
     for name, workspace in config.workspaces_by_name.items():
         path = (const.CONF_WORKSPACES, name, key)
-        yield _Place(path, workspace.selector, workspace.services)
+        yield _LocatedSelector(path, workspace.selector, workspace.services)
 
 
-def _uses(place: _Place) -> Iterator[tuple[KeyPath, str, tuple[str, ...]]]:
+def _labels_used(
+    located: _LocatedSelector,
+) -> Iterator[tuple[KeyPath, str, tuple[str, ...]]]:
     """Yield each label of a selector, with its path and values."""
-    for label, values in place.selector.match.items():
-        yield (*place.path, const.CONF_MATCH, label), label, values
-    for label, values in place.selector.exclude.items():
-        yield (*place.path, const.CONF_EXCLUDE, label), label, values
+    for label, values in located.selector.match.items():
+        yield (*located.path, const.CONF_MATCH, label), label, values
+    for label, values in located.selector.exclude.items():
+        yield (*located.path, const.CONF_EXCLUDE, label), label, values
--- a/bitterntiller/components/crashes/__init__.py
+++ b/bitterntiller/components/crashes/__init__.py
@@ -1,8 +1,8 @@
 """Requests that crash upstreams: found out, shared by all hosts, kept on disk."""
 
 from bitterntiller.components.crashes.coordinator import CrashCoordinator
-from bitterntiller.components.crashes.keeper import HistoryKeeper
-from bitterntiller.components.crashes.storage import FILE_NAME
+from bitterntiller.components.crashes.history_file import FILE_NAME
+from bitterntiller.components.crashes.store import HistoryStore
 from bitterntiller.core.interfaces import ConfigView, DirectoryView
 from bitterntiller.core.runtime import Runtime
 from bitterntiller.protocol import messages
@@ -18,10 +18,10 @@
     coordinator = CrashCoordinator(runtime, config, directory)
     folder = runtime.settings.data_folder
     if folder is not None:
-        keeper = HistoryKeeper(folder / FILE_NAME, coordinator.history, runtime.clock)
-        keeper.load()
-        coordinator.add_listener(keeper.async_note_change)
-        await runtime.async_spawn(keeper.async_run())
+        store = HistoryStore(folder / FILE_NAME, coordinator.history, runtime.clock)
+        store.load()
+        coordinator.add_listener(store.async_schedule_save)
+        await runtime.async_spawn(store.async_run())
     remove = runtime.links.handle(messages.CrashReport, coordinator.async_on_report)
     runtime.stack.callback(remove)
     await runtime.async_spawn(coordinator.async_run())
--- a/bitterntiller/components/crashes/coordinator.py
+++ b/bitterntiller/components/crashes/coordinator.py
@@ -43,7 +43,7 @@
     ) -> None:
         self._host = runtime.settings.host
         self._key = runtime.settings.keys.internal
-        self._own_address = str(runtime.settings.listen.reached_at)
+        self._own_address = str(runtime.settings.listen.peer_address)
         self._clock = runtime.clock
         self._links = runtime.links
         self._metrics = runtime.metrics
@@ -51,7 +51,7 @@
         self._directory = directory
         self._listeners: list[UpdateListener] = []
         self._synced_at_by_owner: dict[Ownership, float] = {}
-        self._changed = curio.Event()
+        self._sync_needed = curio.Event()
         self.history = CrashHistory()
 
     def add_listener(self, listener: UpdateListener) -> None:
@@ -70,7 +70,7 @@
         """Return the seconds for which a request may not be sent, 0 if it may."""
         return self.history.quarantined_for(fingerprint, now)
 
-    def knows(self, fingerprint: int) -> bool:
+    def has_crashes(self, fingerprint: int) -> bool:
         """Tell whether a request has crashes that count."""
         return self.count(fingerprint, self._clock.now()) > 0
 
@@ -88,15 +88,15 @@
         if retrying and count >= const.QUARANTINE_THRESHOLD - 1:
             await task.join()
 
-    async def async_note_success(self, fingerprint: int) -> None:
+    async def async_record_success(self, fingerprint: int) -> None:
         """Take note of a whole answer: the request doesn't crash its upstream."""
-        if self.knows(fingerprint):
+        if self.has_crashes(fingerprint):
             await self.async_clear(fingerprint)
 
     async def async_clear(self, fingerprint: int) -> None:
         """Forget the crashes of a request, on all hosts."""
         clearing = Clearing(fingerprint, self._clock.now())
-        await self._async_take(CrashUpdate(clearings=(clearing,)), self._host)
+        await self._async_merge(CrashUpdate(clearings=(clearing,)), self._host)
         await self._async_notify_owners()
 
     async def async_on_report(self, host: str, message: Any) -> Any:
@@ -105,28 +105,30 @@
         if message.digest is not None:
             digest = self.history.digest(now)
             return report_message(CrashUpdate(), self._host, now, digest=digest)
-        told = crash_update(message, now)
-        update = await self._async_take(told, message.host)
+        received = crash_update(message, now)
+        update = await self._async_merge(received, message.host)
         if message.broadcast and not update.empty:
             await self._async_broadcast(update, message.host)
-        missing = self.history.missing_from(told, now)
+        missing = self.history.missing_from(received, now)
         return report_message(missing, self._host, now)
 
     async def async_run(self) -> None:
         """Exchange updates with owners, until cancelled."""
         while True:
-            self._changed.clear()
+            self._sync_needed.clear()
             now = self._clock.now()
-            wake = now + const.SYNC_SECONDS
+            wake = now + const.SYNC_PERIOD
             for owner in self._owners():
                 due = self._synced_at_by_owner.get(owner, float("-inf"))
-                due += const.SYNC_SECONDS
+                due += const.SYNC_PERIOD
                 if due <= now:
                     due = now + await self._async_sync(owner)
                 wake = min(wake, due)
-            pause = min(max(wake - now, const.REPORT_RETRY), const.OWNERS_PERIOD)
+            pause = min(
+                max(wake - now, const.REPORT_RETRY_DELAY), const.OWNER_CHECK_PERIOD
+            )
             async with curio.ignore_after(pause):
-                await self._changed.wait()
+                await self._sync_needed.wait()
 
     async def _async_probe(self, sent: SentRequest) -> None:
         at = self._clock.now()
@@ -135,12 +137,12 @@
         if not ended:
             return
         crash = Crash(sent.fingerprint, sent.upstream, sent.incarnation, at)
-        await self._async_take(CrashUpdate(crashes=(crash,)), self._host)
+        await self._async_merge(CrashUpdate(crashes=(crash,)), self._host)
         await self._async_notify_owners()
 
-    async def _async_take(self, update: CrashUpdate, reporter: str) -> CrashUpdate:
+    async def _async_merge(self, update: CrashUpdate, reporter: str) -> CrashUpdate:
         now = self._clock.now()
-        held_before = {
+        quarantined_before = {
             item
             for item in update.fingerprints
             if self.history.quarantined_for(item, now)
@@ -151,9 +153,9 @@
             quarantined_for = self.history.quarantined_for(crash.fingerprint, now)
             log_crash(crash, reporter, count, quarantined_for)
             self._metrics.count(const.METRIC_CRASHES)
-            if quarantined_for and crash.fingerprint not in held_before:
+            if quarantined_for and crash.fingerprint not in quarantined_before:
                 self._metrics.count(const.METRIC_QUARANTINED)
-                held_before.add(crash.fingerprint)
+                quarantined_before.add(crash.fingerprint)
         for clearing in new.clearings:
             log_clearing(clearing.fingerprint, reporter)
             self._metrics.count(const.METRIC_CLEARED)
@@ -165,7 +167,7 @@
     async def _async_notify_owners(self) -> None:
         """Have everything exchanged with all owners now, and again until they hear."""
         self._synced_at_by_owner.clear()
-        await self._changed.set()
+        await self._sync_needed.set()
 
     def _owners(self) -> list[Ownership]:
         """Return the owners of the configured pools other than this process."""
@@ -188,15 +190,15 @@
         now = self._clock.now()
         try:
             known = owner in self._synced_at_by_owner
-            if not known or not await self._async_in_sync(owner, now):
+            if not known or not await self._async_digests_match(owner, now):
                 await self._async_sync_all(owner, now)
         except LinkError:
-            return const.REPORT_RETRY
-        if not self._changed.is_set():
+            return const.REPORT_RETRY_DELAY
+        if not self._sync_needed.is_set():
             self._synced_at_by_owner[owner] = now
-        return const.SYNC_SECONDS
+        return const.SYNC_PERIOD
 
-    async def _async_in_sync(self, owner: Ownership, now: float) -> bool:
+    async def _async_digests_match(self, owner: Ownership, now: float) -> bool:
         digest = self.history.digest(now)
         report = report_message(CrashUpdate(), self._host, now, digest=digest)
         reply = await self._links.async_call(
@@ -210,7 +212,7 @@
         reply = await self._links.async_call(
             owner.address, report, const.REPORT_TIMEOUT
         )
-        await self._async_take(crash_update(reply, self._clock.now()), reply.host)
+        await self._async_merge(crash_update(reply, self._clock.now()), reply.host)
 
     async def _async_broadcast(self, update: CrashUpdate, reporter: str) -> None:
         """Tell all hosts but the reporter; a dead one must not hold up the others."""
--- a/bitterntiller/components/crashes/diagnostics.py
+++ b/bitterntiller/components/crashes/diagnostics.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from bitterntiller.components.crashes.fingerprint import shown
+from bitterntiller.components.crashes.fingerprint import format_fingerprint
 from bitterntiller.components.crashes.history import CrashHistory
 
 
@@ -11,7 +11,7 @@
     """Return the crashes of each request by its fingerprint; times in seconds."""
     crashes_by_fingerprint: dict[str, dict[str, Any]] = {}
     for crash in history.snapshot(now).crashes:
-        name = shown(crash.fingerprint)
+        name = format_fingerprint(crash.fingerprint)
         item = crashes_by_fingerprint.setdefault(
             name,
             {
--- a/bitterntiller/components/crashes/event_logging.py
+++ b/bitterntiller/components/crashes/event_logging.py
@@ -1,6 +1,6 @@
 """What is found out of crashes, as events of the log."""
 
-from bitterntiller.components.crashes.fingerprint import shown
+from bitterntiller.components.crashes.fingerprint import format_fingerprint
 from bitterntiller.components.crashes.models import Crash
 from bitterntiller.core import events
 
@@ -20,7 +20,7 @@
     """Log that an upstream ended under a request, and what follows for it."""
     events.emit(
         "upstream-crashed",
-        fingerprint=shown(crash.fingerprint),
+        fingerprint=format_fingerprint(crash.fingerprint),
         upstream=crash.upstream,
         incarnation=crash.incarnation,
         reporter=reporter,
@@ -31,4 +31,8 @@
 
 def log_clearing(fingerprint: int, reporter: str) -> None:
     """Log that the crashes of a request count no more."""
-    events.emit("crashes-cleared", fingerprint=shown(fingerprint), reporter=reporter)
+    events.emit(
+        "crashes-cleared",
+        fingerprint=format_fingerprint(fingerprint),
+        reporter=reporter,
+    )
--- a/bitterntiller/components/crashes/fingerprint.py
+++ b/bitterntiller/components/crashes/fingerprint.py
@@ -22,6 +22,6 @@
     return (int.from_bytes(digest.digest()) >> 1) | 1
 
 
-def shown(number: int) -> str:
+def format_fingerprint(number: int) -> str:
     """Return a fingerprint as logs and commands show it."""
     return f"{number:016x}"
--- a/bitterntiller/components/crashes/history.py
+++ b/bitterntiller/components/crashes/history.py
@@ -20,7 +20,7 @@
         self.cleared_at = float("-inf")
         self.crashes_by_process: dict[tuple[str, str], Crash] = {}
 
-    def newest(self) -> float:
+    def newest_at(self) -> float:
         ends = (crash.at for crash in self.crashes_by_process.values())
         return max(ends, default=self.cleared_at)
 
@@ -38,15 +38,17 @@
 
     def merge(self, update: CrashUpdate, now: float) -> CrashUpdate:
         """Join an update into this history; return the part that was not known."""
-        crashes = tuple(item for item in update.crashes if self._note(item, now))
-        clearings = tuple(item for item in update.clearings if self._clear(item, now))
-        self._bound()
+        crashes = tuple(item for item in update.crashes if self._add_crash(item, now))
+        clearings = tuple(
+            item for item in update.clearings if self._add_clearing(item, now)
+        )
+        self._evict_excess()
         return CrashUpdate(crashes, clearings)
 
     def count(self, fingerprint: int, now: float) -> int:
         """Return how many upstreams have ended under a request."""
         entry = self._entries_by_fingerprint.get(fingerprint)
-        if entry is None or now - entry.newest() > const.KEPT_SECONDS:
+        if entry is None or now - entry.newest_at() > const.RETENTION_SECONDS:
             return 0
         return len(entry.crashes_by_process)
 
@@ -55,8 +57,8 @@
         count = self.count(fingerprint, now)
         if count < const.QUARANTINE_THRESHOLD:
             return 0.0
-        newest = self._entries_by_fingerprint[fingerprint].newest()
-        return max(0.0, newest + _quarantine_seconds(count) - now)
+        newest_at = self._entries_by_fingerprint[fingerprint].newest_at()
+        return max(0.0, newest_at + _quarantine_seconds(count) - now)
 
     def snapshot(self, now: float) -> CrashUpdate:
         """Return all that is remembered."""
@@ -76,18 +78,19 @@
 
     def missing_from(self, other: CrashUpdate, now: float) -> CrashUpdate:
         """Return what is remembered here and not in another host's update."""
-        known = {(item.fingerprint, *_process(item)) for item in other.crashes}
+        known = {(item.fingerprint, *_process_key(item)) for item in other.crashes}
         cleared_at = {item.fingerprint: item.at for item in other.clearings}
         own = self.snapshot(now)
         crashes = (
             item
             for item in own.crashes
-            if (item.fingerprint, *_process(item)) not in known
+            if (item.fingerprint, *_process_key(item)) not in known
         )
         clearings = (
             item
             for item in own.clearings
-            if item.at > cleared_at.get(item.fingerprint, float("-inf")) + _SAME_SECONDS
+            if item.at
+            > cleared_at.get(item.fingerprint, float("-inf")) + _CLEARING_TOLERANCE
         )
         return CrashUpdate(tuple(crashes), tuple(clearings))
 
@@ -96,7 +99,7 @@
         known = self.snapshot(now)
         digest = 0
         for item in known.crashes:
-            digest ^= _hash(item.fingerprint, *_process(item))
+            digest ^= _hash(item.fingerprint, *_process_key(item))
         for item in known.clearings:
             digest ^= _hash(item.fingerprint)
         return digest
@@ -105,7 +108,7 @@
         """Forget what is older than KEPT_SECONDS."""
         entries = self._entries_by_fingerprint
         for fingerprint, entry in list(entries.items()):
-            if now - entry.newest() > const.KEPT_SECONDS:
+            if now - entry.newest_at() > const.RETENTION_SECONDS:
                 del entries[fingerprint]
 
     def fingerprints(self) -> Iterable[int]:
@@ -113,26 +116,29 @@
         entries = self._entries_by_fingerprint
         return [key for key, entry in entries.items() if entry.crashes_by_process]
 
-    def _note(self, crash: Crash, now: float) -> bool:
-        if now - crash.at > const.KEPT_SECONDS:
+    def _add_crash(self, crash: Crash, now: float) -> bool:
+        if now - crash.at > const.RETENTION_SECONDS:
             return False
         entries = self._entries_by_fingerprint
         entry = entries.get(crash.fingerprint)
         if entry is None:
             entry = entries[crash.fingerprint] = _Entry()
-        if crash.at <= entry.cleared_at or _process(crash) in entry.crashes_by_process:
+        if (
+            crash.at <= entry.cleared_at
+            or _process_key(crash) in entry.crashes_by_process
+        ):
             return False
-        entry.crashes_by_process[_process(crash)] = crash
+        entry.crashes_by_process[_process_key(crash)] = crash
         return True
 
-    def _clear(self, clearing: Clearing, now: float) -> bool:
-        if now - clearing.at > const.KEPT_SECONDS:
+    def _add_clearing(self, clearing: Clearing, now: float) -> bool:
+        if now - clearing.at > const.RETENTION_SECONDS:
             return False
         entries = self._entries_by_fingerprint
         entry = entries.get(clearing.fingerprint)
         if entry is None:
             entry = entries[clearing.fingerprint] = _Entry()
-        if clearing.at <= entry.cleared_at + _SAME_SECONDS:
+        if clearing.at <= entry.cleared_at + _CLEARING_TOLERANCE:
             return False
         entry.cleared_at = clearing.at
         entry.crashes_by_process = {
@@ -142,7 +148,7 @@
         }
         return True
 
-    def _bound(self) -> None:
+    def _evict_excess(self) -> None:
         entries = self._entries_by_fingerprint
         excess = len(entries) - const.MAX_REQUESTS
         if excess <= 0:
@@ -150,15 +156,15 @@
 
         def weight(fingerprint: int) -> tuple[int, float]:
             entry = entries[fingerprint]
-            return len(entry.crashes_by_process), entry.newest()
+            return len(entry.crashes_by_process), entry.newest_at()
 
         for fingerprint in sorted(entries, key=weight)[:excess]:
             del entries[fingerprint]
 
 
-MOST_DOUBLINGS = 16
+MAX_DOUBLINGS = 16
 
-_SAME_SECONDS = 0.5
+_CLEARING_TOLERANCE = 0.5
 """By how much the time of one clearing may differ between hosts: it is told as an age,
 and messages take some time."""
 
@@ -167,7 +173,7 @@
     return xxhash.xxh3_64_intdigest(repr(parts).encode()) >> 1
 
 
-def _process(crash: Crash) -> tuple[str, str]:
+def _process_key(crash: Crash) -> tuple[str, str]:
     return crash.upstream, crash.incarnation
 
 
@@ -175,5 +181,5 @@
     further = count - const.QUARANTINE_THRESHOLD
     if not further:
         return const.FIRST_QUARANTINE_SECONDS
-    doublings = min(further - 1, MOST_DOUBLINGS)
+    doublings = min(further - 1, MAX_DOUBLINGS)
     return min(const.QUARANTINE_SECONDS * 2**doublings, const.MAX_QUARANTINE_SECONDS)
--- a/bitterntiller/components/crashes/probe.py
+++ b/bitterntiller/components/crashes/probe.py
@@ -14,7 +14,7 @@
     """
     if not await _async_refuses(address):
         return False
-    await curio.sleep(const.CONFIRM_SECONDS)
+    await curio.sleep(const.PROBE_INTERVAL)
     return await _async_refuses(address)
 
 
--- a/bitterntiller/components/crashes/keeper.py
+++ b/bitterntiller/components/crashes/store.py
@@ -9,11 +9,11 @@
 from bitterntiller.components.crashes import const
 from bitterntiller.components.crashes.errors import DamagedHistoryError
 from bitterntiller.components.crashes.history import CrashHistory
-from bitterntiller.components.crashes.storage import load, save
+from bitterntiller.components.crashes.history_file import load, save
 from bitterntiller.core.clock import Clock
 
 
-class HistoryKeeper:
+class HistoryStore:
     """Loads a history at the start and saves it in a thread after each change.
 
     A history that can't be read or written costs no request: the other hosts have it.
@@ -33,7 +33,7 @@
         except DamagedHistoryError as error:
             logging.warning("the crash history begins empty: %s", error.text)
 
-    async def async_note_change(self, _fingerprints: frozenset[int]) -> None:
+    async def async_schedule_save(self, _fingerprints: frozenset[int]) -> None:
         """Have the history saved soon."""
         await self._changed.set()
 
@@ -48,6 +48,6 @@
                 await curio.run_in_thread(save, self._path, known, time.time() - now)
             except OSError as error:
                 logging.warning("the crash history was not saved: %s", error)
-                await curio.sleep(const.SAVE_RETRY)
+                await curio.sleep(const.SAVE_RETRY_DELAY)
                 await self._changed.set()
-            await curio.sleep(const.SAVE_PAUSE)
+            await curio.sleep(const.MIN_SAVE_INTERVAL)
--- a/bitterntiller/components/dispatch/eligibility.py
+++ b/bitterntiller/components/dispatch/eligibility.py
@@ -56,7 +56,7 @@
     return frozenset(
         name
         for name, labels in labels_by_upstream.items()
-        if all(selector.chooses(labels) for selector in selectors)
+        if all(selector.matches(labels) for selector in selectors)
     )
 
 
--- a/bitterntiller/components/dispatch/quota_counter.py
+++ b/bitterntiller/components/dispatch/quota_counter.py
@@ -10,7 +10,10 @@
 )
 from bitterntiller.components.dispatch.quotas import QuotaLedger, QuotaState
 from bitterntiller.components.dispatch.retry_reservations import QuotaRefusal
-from bitterntiller.components.settings.models import REPEAT_PART, QuotaWindow
+from bitterntiller.components.settings.models import (
+    RETRY_OVERDRAFT_FRACTION,
+    QuotaWindow,
+)
 
 LENT_FRACTION = 0.5
 LENDING_FLOOR_FRACTION = 0.5
@@ -77,7 +80,9 @@
         state = self._state(request.workspace, context, now)
         if state is None:
             return QuotaDecision(request, UNLIMITED)
-        fits = state.remaining - request.amount >= -REPEAT_PART * state.limit
+        fits = (
+            state.remaining - request.amount >= -RETRY_OVERDRAFT_FRACTION * state.limit
+        )
         refusal = None if fits else QuotaRefusal(0.0, False)
         decision = QuotaDecision(request, state)._replace(refusal=refusal)
         return self._apply(decision, now)
--- a/bitterntiller/components/entry/event_logging.py
+++ b/bitterntiller/components/entry/event_logging.py
@@ -1,6 +1,6 @@
 """Log the decisions on a request as events."""
 
-from bitterntiller.components.crashes.fingerprint import shown
+from bitterntiller.components.crashes.fingerprint import format_fingerprint
 from bitterntiller.components.entry.context import Context
 from bitterntiller.components.entry.dialect import ResponseClass
 from bitterntiller.components.entry.models import (
@@ -64,7 +64,7 @@
         left=round(identified.deadline - now, 3),
         grant_left=round(grant.valid_until - now, 3),
         kept_connection=kept,
-        fingerprint=shown(active.fingerprint),
+        fingerprint=format_fingerprint(active.fingerprint),
         config_version=identified.config_version,
     )
 
--- a/bitterntiller/components/entry/pipeline.py
+++ b/bitterntiller/components/entry/pipeline.py
@@ -168,7 +168,7 @@
         if isinstance(verdict, RelayResult):
             outcome = outcome_of(verdict.status) if verdict.whole else Outcome.UNKNOWN
             if outcome is Outcome.DONE and self._context.crashes is not None:
-                await self._context.crashes.async_note_success(active.fingerprint)
+                await self._context.crashes.async_record_success(active.fingerprint)
             await self._async_record_end(active, outcome, verdict.status)
             return
         if active.may_have_run or active.has_run:
--- a/bitterntiller/components/entry/quota.py
+++ b/bitterntiller/components/entry/quota.py
@@ -15,7 +15,10 @@
 from typing import Any, NamedTuple
 
 from bitterntiller.components.config.models import Quota, Workspace
-from bitterntiller.components.settings.models import REPEAT_PART, QuotaWindow
+from bitterntiller.components.settings.models import (
+    RETRY_OVERDRAFT_FRACTION,
+    QuotaWindow,
+)
 from bitterntiller.core.acknowledged import AcknowledgedPositions
 from bitterntiller.core.clock import Clock
 
@@ -146,7 +149,9 @@
         level = self._level_by_workspace.get(workspace.name)
         if quota is None or level is None:
             return True
-        return level.left - amount >= -REPEAT_PART * self._window_limit(quota)
+        return level.left - amount >= -RETRY_OVERDRAFT_FRACTION * self._window_limit(
+            quota
+        )
 
     def level(self, workspace: str) -> QuotaLevel | None:
         """Return the last known level of a workspace's quota."""
--- a/bitterntiller/components/entry/relay.py
+++ b/bitterntiller/components/entry/relay.py
@@ -80,9 +80,16 @@
     def _idle_timeout(self) -> float:
         """Return the seconds without data after which a response counts as broken."""
         route = self._active.route
-        if route is None or not self._active.repeatable or not route.pause:
+        if (
+            route is None
+            or not self._active.repeatable
+            or not route.target_output_interval
+        ):
             return self._idle
-        return min(self._idle, max(const.MIN_STREAM_IDLE_TIMEOUT, 2 * route.pause))
+        return min(
+            self._idle,
+            max(const.MIN_STREAM_IDLE_TIMEOUT, 2 * route.target_output_interval),
+        )
 
     def _resumable(self) -> bool:
         stream = self._active.stream
--- a/bitterntiller/components/node/coordinator.py
+++ b/bitterntiller/components/node/coordinator.py
@@ -165,7 +165,7 @@
         return messages.Heartbeat(
             host=settings.host,
             incarnation=self._runtime.incarnation,
-            address=str(settings.listen.reached_at),
+            address=str(settings.listen.peer_address),
             zone=settings.zone,
             roles=list(settings.roles),
             config_version=-1 if self._request_full_config else self.config.version,
--- a/bitterntiller/components/operator/coordinator.py
+++ b/bitterntiller/components/operator/coordinator.py
@@ -106,7 +106,7 @@
 
     async def _async_clear_crashes(self, request: HttpRequest) -> HttpResponse:
         fingerprint = requests.read_fingerprint(request)
-        if not self._crashes.knows(fingerprint):
+        if not self._crashes.has_crashes(fingerprint):
             raise RefusedRequestError(404, "no request with crashes has it")
         await self._crashes.async_clear(fingerprint)
         text = "its crashes count no more; all hosts are told"
--- a/bitterntiller/components/operator/diagnostics.py
+++ b/bitterntiller/components/operator/diagnostics.py
@@ -18,7 +18,7 @@
     def dump() -> dict[str, Any]:
         settings = runtime.settings
         diagnostics = runtime.diagnostics_by_component.items()
-        shares = {name: _share(runtime, get) for name, get in diagnostics}
+        shares = {name: _component_state(runtime, get) for name, get in diagnostics}
         return {
             "host": settings.host,
             "zone": settings.zone,
@@ -32,7 +32,7 @@
     return dump
 
 
-def _share(runtime: Runtime, diagnostics: Diagnostics) -> Any:
+def _component_state(runtime: Runtime, diagnostics: Diagnostics) -> Any:
     # A dump is wanted most when something is wrong. A component whose share
     # fails must not hide the others; its error stands in its place.
     try:
--- a/bitterntiller/components/operator/requests.py
+++ b/bitterntiller/components/operator/requests.py
@@ -18,7 +18,7 @@
 _CHANGE_ID = re.compile(r"[\x21-\x7e]{1,128}")
 _FINGERPRINT = re.compile(r"[0-9a-f]{16}")
 _ROLLOUT_KEYS = {"service", "to", "seconds"}
-_MOST_SECONDS = 1_000_000
+_MAX_ROLLOUT_SECONDS = 1_000_000
 _REPAIR_KEYS = set(RepairRequest._fields)
 
 
@@ -82,8 +82,8 @@
         raise RefusedRequestError(400, "service and to are strings")
     if isinstance(seconds, bool) or not isinstance(seconds, int | float):
         raise RefusedRequestError(400, "seconds is a number")
-    if not 0 <= seconds <= _MOST_SECONDS:
-        raise RefusedRequestError(400, f"seconds is from 0 to {_MOST_SECONDS}")
+    if not 0 <= seconds <= _MAX_ROLLOUT_SECONDS:
+        raise RefusedRequestError(400, f"seconds is from 0 to {_MAX_ROLLOUT_SECONDS}")
     return RolloutRequest(service, to, int(seconds * 1000))
 
 
--- a/bitterntiller/components/operator/responses.py
+++ b/bitterntiller/components/operator/responses.py
@@ -43,7 +43,7 @@
     return json_response(status, {"status": name, "text": text})
 
 
-def unavailable() -> HttpResponse:
+def unavailable_response() -> HttpResponse:
     """Return the response to a reading that no leader answered."""
     value = {
         "status": const.STATUS_UNAVAILABLE,
@@ -52,7 +52,7 @@
     return json_response(503, value, _retry_after())
 
 
-def unknown(advice: str) -> HttpResponse:
+def unknown_outcome_response(advice: str) -> HttpResponse:
     """Return the response to a change of which no outcome was heard."""
     value = {"status": const.STATUS_UNKNOWN, "text": _UNKNOWN_TEXT + advice}
     return json_response(503, value, _retry_after())
@@ -65,7 +65,7 @@
 def config_response(reply: Any) -> HttpResponse:
     """Return the response for a messages.ConfigReply, or None."""
     if reply is None or reply.status != const.STATUS_OK:
-        return unavailable()
+        return unavailable_response()
     value = {"version": reply.version, "config": json.loads(reply.config or b"{}")}
     etag = (const.HEADER_ETAG, f'"{reply.version}"'.encode())
     return json_response(200, value, [etag])
@@ -75,7 +75,9 @@
     """Return the response for a messages.ChangeReply, or None."""
     status = None if reply is None else _HTTP_STATUS_BY_CHANGE.get(reply.status)
     if status is None:
-        return unknown("resend the change with the same id and base version")
+        return unknown_outcome_response(
+            "resend the change with the same id and base version"
+        )
     value: dict[str, Any] = {"status": reply.status, "version": reply.version}
     if reply.status == const.STATUS_INVALID:
         value["problems"] = split_problems(reply.text)
@@ -97,7 +99,7 @@
 def rollouts_response(reply: Any) -> HttpResponse:
     """Return the response that shows rollouts, for a messages.RolloutReply or None."""
     if reply is None or reply.status != const.STATUS_OK:
-        return unavailable()
+        return unavailable_response()
     return json_response(200, json.loads(reply.document))
 
 
@@ -105,7 +107,7 @@
     """Return the response to an order, for a messages.RolloutReply or None."""
     status = None if reply is None else _HTTP_STATUS_BY_ROLLOUT.get(reply.status)
     if status is None:
-        return unknown("send the same order again")
+        return unknown_outcome_response("send the same order again")
     value: dict[str, Any] = {"status": reply.status}
     if reply.phase is not None:
         value |= {"to": reply.to, "phase": reply.phase, "number": reply.number}
@@ -117,7 +119,7 @@
 def control_response(reply: Any) -> HttpResponse:
     """Return the response for a messages.ControlStatusReply, or None."""
     if reply is None or reply.status != const.STATUS_OK:
-        return unavailable()
+        return unavailable_response()
     value = {
         "status": reply.status,
         "leader": reply.leader,
@@ -133,5 +135,5 @@
     """
     status = None if reply is None else _HTTP_STATUS_BY_REPAIR.get(reply.status)
     if status is None:
-        return unknown("repeat it: the answer tells how far it is")
+        return unknown_outcome_response("repeat it: the answer tells how far it is")
     return json_response(status, {"status": reply.status, "text": reply.text})
--- a/bitterntiller/components/orders/desired_orders.py
+++ b/bitterntiller/components/orders/desired_orders.py
@@ -26,7 +26,7 @@
     the service's selector matches; order_load/generation=g2 applies only to those of
     them with that label. order_unload and order_role work likewise.
     """
-    if not service.selector.chooses(upstream.labels):
+    if not service.selector.matches(upstream.labels):
         return []
     return [
         desired
--- a/bitterntiller/components/replication/joiner.py
+++ b/bitterntiller/components/replication/joiner.py
@@ -37,7 +37,7 @@
 
     def _own(self) -> join_decisions.LocalReplica:
         settings = self._runtime.settings
-        address = str(settings.listen.reached_at)
+        address = str(settings.listen.peer_address)
         return join_decisions.LocalReplica(
             self._replica().state.replica, settings.host, address
         )
--- a/bitterntiller/components/settings/models.py
+++ b/bitterntiller/components/settings/models.py
@@ -28,7 +28,7 @@
     metrics: Address | None = None
 
     @property
-    def reached_at(self) -> Address:
+    def peer_address(self) -> Address:
         """Return the internal address that this process's peers call."""
         return self.advertised or self.internal
 
@@ -85,11 +85,11 @@
     depth: float
 
 
-DEPTH_PART = 0.25
+MAX_DEPTH_FRACTION = 0.25
 """Part of what a span allows that a workspace may use at one moment, where its burst is
 smaller."""
 
-REPEAT_PART = 0.02
+RETRY_OVERDRAFT_FRACTION = 0.02
 """Part of a quota by which repeats may exceed it: the requests were within it when they
 were let through. Deployments have hosts keep within somewhat less than they allow."""
 
@@ -121,7 +121,7 @@
         most = self.limit(rate, burst)
         depth = most - rate * self.seconds
         if depth >= burst:
-            depth = min(depth, max(burst, DEPTH_PART * most))
+            depth = min(depth, max(burst, MAX_DEPTH_FRACTION * most))
             return Bucket((most - depth) / self.seconds, depth)
         part = most / max(rate * self.seconds + burst, 1e-9)
         return Bucket(rate * part, burst * part)
--- a/bitterntiller/components/settings/schema.py
+++ b/bitterntiller/components/settings/schema.py
@@ -129,8 +129,8 @@
             problems.append(Problem((const.CONF_LISTEN, key), text))
     # Other hosts are told the internal address and call it; 0.0.0.0 would lead
     # each of them to itself.
-    told = listen.get(const.CONF_ADVERTISED, listen[const.CONF_INTERNAL])
-    if told.ip == const.UNSPECIFIED_IP:
+    peer_address = listen.get(const.CONF_ADVERTISED, listen[const.CONF_INTERNAL])
+    if peer_address.ip == const.UNSPECIFIED_IP:
         path = (const.CONF_LISTEN, const.CONF_INTERNAL)
         problems.append(Problem(path, "must be the address that other hosts call"))
     return problems
--- a/bitterntiller/components/upstreams/coordinator.py
+++ b/bitterntiller/components/upstreams/coordinator.py
@@ -38,22 +38,24 @@
     async def async_handle(self, request: HttpRequest) -> HttpResponse:
         """Return the answer to an announcement."""
         if request.method != "POST":
-            return _answer(405, {"error": "use POST"})
-        if not self._key_is_right(request.headers):
+            return _json_response(405, {"error": "use POST"})
+        if not self._has_valid_key(request.headers):
             self._metrics.count(const.METRIC_WRONG_KEY)
-            return _answer(401, {"error": "wrong key"})
+            return _json_response(401, {"error": "wrong key"})
         try:
             message = parse_announcement(request.body)
         except AnnouncementError as error:
-            return _answer(422, {"error": error.text, "code": error.code})
+            return _json_response(422, {"error": error.text, "code": error.code})
         services = self._config.config.services_by_name if self._config.config else {}
         if services and message.pool not in services:
-            return _answer(422, {"error": f"no service {message.pool}"})
+            return _json_response(422, {"error": f"no service {message.pool}"})
         status = await self._async_forward(message)
         self._metrics.count(f"{const.METRIC_ANNOUNCEMENTS}.{status}")
-        return _answer(const.STATUS_BY_REPLY.get(status, 503), {"status": status})
+        return _json_response(
+            const.STATUS_BY_REPLY.get(status, 503), {"status": status}
+        )
 
-    def _key_is_right(self, headers: Headers) -> bool:
+    def _has_valid_key(self, headers: Headers) -> bool:
         value = header(headers, b"authorization") or ""
         if not value.startswith(_BEARER):
             return False
@@ -71,6 +73,6 @@
         return reply.status
 
 
-def _answer(status: int, document: dict[str, str]) -> HttpResponse:
+def _json_response(status: int, document: dict[str, str]) -> HttpResponse:
     headers = _JSON + _RETRY if status == 503 else _JSON
     return HttpResponse(status, headers, json.dumps(document).encode() + b"\n")
--- a/bitterntiller/core/interfaces.py
+++ b/bitterntiller/core/interfaces.py
@@ -136,7 +136,7 @@
         """
         ...
 
-    async def async_note_success(self, fingerprint: int) -> None:
+    async def async_record_success(self, fingerprint: int) -> None:
         """Take note of a whole answer to a request."""
         ...
 
@@ -148,7 +148,7 @@
         """Return the crashes of each request by its fingerprint."""
         ...
 
-    def knows(self, fingerprint: int) -> bool:
+    def has_crashes(self, fingerprint: int) -> bool:
         """Tell whether a request has crashes that count."""
         ...
 
--- a/bitterntiller/daemon/process.py
+++ b/bitterntiller/daemon/process.py
@@ -58,7 +58,7 @@
     """Return a runtime whose links are not yet listening."""
     statsd = StatsdMetrics(settings.statsd, f"{STATSD_PREFIX}.{settings.host}")
     runtime = Runtime(settings, clock, statsd)
-    own = Peer(settings.host, runtime.incarnation, str(settings.listen.reached_at))
+    own = Peer(settings.host, runtime.incarnation, str(settings.listen.peer_address))
     runtime.links = LinkCoordinator(
         own, settings.listen.internal, settings.keys.internal, clock, statsd
     )
--- a/tests/components/crashes/test_coordinator.py
+++ b/tests/components/crashes/test_coordinator.py
@@ -39,7 +39,7 @@
             settings=SimpleNamespace(
                 host=name,
                 keys=SimpleNamespace(internal=b"secret"),
-                listen=SimpleNamespace(reached_at=name),
+                listen=SimpleNamespace(peer_address=name),
             ),
             clock=self.clock,
             links=self,
@@ -115,7 +115,7 @@
             await hosts.coordinators_by_name["a"].async_check_crash(
                 sent(address), retrying=False
             )
-            await curio.sleep(2 * const.CONFIRM_SECONDS)
+            await curio.sleep(2 * const.PROBE_INTERVAL)
         return hosts.counts()["a"]
 
     assert curio.run(async_main) == 0
@@ -128,10 +128,10 @@
         await hosts.coordinators_by_name["a"].async_check_crash(
             sent(address), retrying=False
         )
-        await curio.sleep(const.CONFIRM_SECONDS / 2)
+        await curio.sleep(const.PROBE_INTERVAL / 2)
         port = int(address.rpartition(":")[2])
         async with curio.tcp_server_socket("127.0.0.1", port):
-            await curio.sleep(const.CONFIRM_SECONDS)
+            await curio.sleep(const.PROBE_INTERVAL)
         return hosts.counts()["a"]
 
     assert curio.run(async_main) == 0
@@ -145,7 +145,7 @@
             await hosts.coordinators_by_name["a"].async_check_crash(
                 sent(address), retrying=False
             )
-            await curio.sleep(2 * const.CONFIRM_SECONDS)
+            await curio.sleep(2 * const.PROBE_INTERVAL)
         return hosts.counts()
 
     assert curio.run(async_main) == {"a": 1, "b": 1, "c": 1}
@@ -161,7 +161,7 @@
             )
             await async_settle()
             hosts.owner_name = "c"
-            await curio.sleep(1.5 * const.OWNERS_PERIOD)
+            await curio.sleep(1.5 * const.OWNER_CHECK_PERIOD)
         return hosts.counts()
 
     assert curio.run(async_main) == {"a": 2, "b": 0, "c": 2}
@@ -176,7 +176,7 @@
             )
             await async_settle()
             hosts.start("b")
-            await curio.sleep(1.5 * const.OWNERS_PERIOD)
+            await curio.sleep(1.5 * const.OWNER_CHECK_PERIOD)
         return hosts.counts()
 
     assert curio.run(async_main) == {"a": 3, "b": 3}
@@ -191,7 +191,7 @@
             )
             await async_settle()
             hosts.clock.advance(1.0)
-            await hosts.coordinators_by_name["a"].async_note_success(build.POISON)
+            await hosts.coordinators_by_name["a"].async_record_success(build.POISON)
             await async_settle()
         return hosts.counts()
 
@@ -202,14 +202,14 @@
     async def async_main() -> bool:
         hosts = Hosts("a", "b", owner="b")
         coordinator = hosts.coordinators_by_name["a"]
-        await coordinator.async_note_success(build.INNOCENT)
+        await coordinator.async_record_success(build.INNOCENT)
         return coordinator.history.snapshot(hosts.clock.now()).empty
 
     assert curio.run(async_main)
 
 
 def test_host_that_missed_what_the_owner_told_hears_it_later(monkeypatch):
-    monkeypatch.setattr(const, "SYNC_SECONDS", 0.3)
+    monkeypatch.setattr(const, "SYNC_PERIOD", 0.3)
 
     async def async_main() -> dict[str, int]:
         hosts = Hosts("a", "b", "c", owner="b")
@@ -229,7 +229,7 @@
 
 
 def test_hosts_that_know_the_same_exchange_no_more_than_a_digest(monkeypatch):
-    monkeypatch.setattr(const, "SYNC_SECONDS", 0.3)
+    monkeypatch.setattr(const, "SYNC_PERIOD", 0.3)
 
     async def async_main() -> list[int]:
         hosts = Hosts("a", "b", owner="b")
@@ -259,7 +259,7 @@
         await coordinator.async_check_crash(sent(address), retrying=False)
         return await curio.clock() - begun
 
-    assert curio.run(async_main) < const.CONFIRM_SECONDS / 2
+    assert curio.run(async_main) < const.PROBE_INTERVAL / 2
 
 
 def test_request_that_is_sent_again_waits_until_its_last_allowed_crash_is_known():
--- a/tests/components/crashes/test_history.py
+++ b/tests/components/crashes/test_history.py
@@ -80,7 +80,7 @@
 
 def test_old_crashes_are_forgotten():
     made = history(build.crashes(3))
-    later = 1004.0 + const.KEPT_SECONDS
+    later = 1004.0 + const.RETENTION_SECONDS
     assert made.count(build.POISON, later) == 0
     assert made.snapshot(later).empty
     assert made.merge(build.crashes(3), later).empty
--- a/tests/components/crashes/test_storage.py
+++ b/tests/components/crashes/test_store.py
@@ -5,9 +5,9 @@
 
 from bitterntiller.components.crashes.errors import DamagedHistoryError
 from bitterntiller.components.crashes.history import CrashHistory
-from bitterntiller.components.crashes.keeper import HistoryKeeper
+from bitterntiller.components.crashes.history_file import load, save
 from bitterntiller.components.crashes.models import CrashUpdate
-from bitterntiller.components.crashes.storage import load, save
+from bitterntiller.components.crashes.store import HistoryStore
 from bitterntiller.core.clock import ManualClock
 from tests.components.crashes import builders as build
 
@@ -60,8 +60,8 @@
     assert len(load(path, OFFSET).crashes) == 1
 
 
-def kept(path, history: CrashHistory) -> HistoryKeeper:
-    return HistoryKeeper(path, history, ManualClock())
+def make_store(path, history: CrashHistory) -> HistoryStore:
+    return HistoryStore(path, history, ManualClock())
 
 
 def test_quarantine_outlives_the_end_of_all_processes(tmp_path):
@@ -69,16 +69,16 @@
 
     async def async_main() -> None:
         history = CrashHistory()
-        keeper = kept(path, history)
-        task = await curio.spawn(keeper.async_run)
+        store = make_store(path, history)
+        task = await curio.spawn(store.async_run)
         history.merge(build.crashes(4, at=1000.0), 1000.0)
-        await keeper.async_note_change(frozenset({build.POISON}))
+        await store.async_schedule_save(frozenset({build.POISON}))
         await curio.sleep(0.1)
         await task.cancel()
 
     curio.run(async_main)
     after = CrashHistory()
-    kept(path, after).load()
+    make_store(path, after).load()
     assert after.quarantined_for(build.POISON, 1000.0) > 100
 
 
@@ -86,14 +86,16 @@
     path = tmp_path / "crashes.json"
     path.write_text("{")
     history = CrashHistory()
-    kept(path, history).load()
+    make_store(path, history).load()
     assert history.snapshot(1000.0).empty
 
 
 def test_disk_that_fails_is_tried_again(tmp_path, monkeypatch):
     path = tmp_path / "crashes.json"
-    monkeypatch.setattr("bitterntiller.components.crashes.const.SAVE_RETRY", 0.05)
-    monkeypatch.setattr("bitterntiller.components.crashes.const.SAVE_PAUSE", 0.01)
+    monkeypatch.setattr("bitterntiller.components.crashes.const.SAVE_RETRY_DELAY", 0.05)
+    monkeypatch.setattr(
+        "bitterntiller.components.crashes.const.MIN_SAVE_INTERVAL", 0.01
+    )
     failures = [OSError(28, "full"), None]
 
     def flaky(target, known, offset) -> None:
@@ -102,14 +104,14 @@
             raise error
         save(target, known, offset)
 
-    monkeypatch.setattr("bitterntiller.components.crashes.keeper.save", flaky)
+    monkeypatch.setattr("bitterntiller.components.crashes.store.save", flaky)
 
     async def async_main() -> None:
         history = CrashHistory()
-        keeper = kept(path, history)
-        task = await curio.spawn(keeper.async_run)
+        store = make_store(path, history)
+        task = await curio.spawn(store.async_run)
         history.merge(build.crashes(3), 1004.0)
-        await keeper.async_note_change(frozenset({build.POISON}))
+        await store.async_schedule_save(frozenset({build.POISON}))
         await curio.sleep(0.3)
         await task.cancel()
 
--- a/tests/components/entry/test_quota.py
+++ b/tests/components/entry/test_quota.py
@@ -10,7 +10,10 @@
     QuotaLedger,
 )
 from bitterntiller.components.entry.quota import QuotaAccount, QuotaHold
-from bitterntiller.components.settings.models import REPEAT_PART, QuotaWindow
+from bitterntiller.components.settings.models import (
+    RETRY_OVERDRAFT_FRACTION,
+    QuotaWindow,
+)
 from bitterntiller.core.clock import ManualClock
 from tests.components.entry.quota_hosts import COUNTER, QuotaHosts, workspace
 
@@ -293,7 +296,7 @@
         ask = QuotaRequest("0", number + 1, "r", "wards", 50, 0.0, 0.0, number)
         decision = shared.counter.decide_repeat(ask, QuotaContext(CONFIG, 1.0), now)
         repeats += decision.refusal is None
-    assert 0 < repeats * 50 <= REPEAT_PART * LIMIT
+    assert 0 < repeats * 50 <= RETRY_OVERDRAFT_FRACTION * LIMIT
 
 
 def test_workspace_over_its_quota_is_served_at_its_rate_all_the_while():
--- a/tests/components/entry/test_quota_sizes.py
+++ b/tests/components/entry/test_quota_sizes.py
@@ -4,7 +4,10 @@
 
 import pytest
 
-from bitterntiller.components.settings.models import REPEAT_PART, QuotaWindow
+from bitterntiller.components.settings.models import (
+    RETRY_OVERDRAFT_FRACTION,
+    QuotaWindow,
+)
 from tests.components.entry.quota_hosts import (
     Played,
     QuotaHosts,
@@ -36,7 +39,7 @@
 
 DEPLOYMENTS = [(10_000.0, 9), (10_000.0, 200), (70_000.0, 60), (70_000.0, 600)]
 """Rates of a quota, and numbers of entry hosts."""
-SPARE = 1 / 0.97 - REPEAT_PART
+SPARE = 1 / 0.97 - RETRY_OVERDRAFT_FRACTION
 """Part of the limit that may be sent in a window: a deployment has hosts keep within
 0.97 of what it allows, and what repeats may add is left over."""
 
--- a/tests/components/operator/builders.py
+++ b/tests/components/operator/builders.py
@@ -45,7 +45,7 @@
         item = {"quarantined_for": 3.0, "crashes": [crash]}
         return {"requests_by_fingerprint": {f"{self.KNOWN:016x}": item}}
 
-    def knows(self, fingerprint):
+    def has_crashes(self, fingerprint):
         return fingerprint == self.KNOWN
 
     async def async_clear(self, fingerprint):
