--- a/bitterntiller/components/control/coordinator.py
+++ b/bitterntiller/components/control/coordinator.py
@@ -146,7 +146,7 @@
     async def async_heartbeat(self, sender: str, heartbeat: Any) -> Any:
         """Reply to a messages.Heartbeat, with a lease once leadership is confirmed."""
         if not self._log.leader():
-            await self._log.async_leader_known(LEADER_WAIT)
+            await self._log.async_wait_for_leader(LEADER_WAIT)
         term = self.leader_term()
         if term is None:
             return self._reject_heartbeat(STATUS_NOT_LEADER)
--- a/bitterntiller/components/crashes/probe.py
+++ b/bitterntiller/components/crashes/probe.py
@@ -3,7 +3,7 @@
 import curio
 
 from bitterntiller.components.crashes import const
-from bitterntiller.core.dialling import async_connect
+from bitterntiller.core.tcp import async_connect
 
 
 async def async_has_ended(address: str) -> bool:
@@ -14,7 +14,7 @@
     """
     if not await _async_refuses(address):
         return False
-    await curio.sleep(const.CONFIRM_SECONDS)
+    await curio.sleep(const.PROBE_INTERVAL)
     return await _async_refuses(address)
 
 
