--- a/tests/scenarios/background.py
+++ b/tests/scenarios/background.py
@@ -1,15 +1,15 @@
-"""What goes on in threads of its own beside a scenario."""
+"""Background threads of a scenario."""
 
 import threading
 from collections.abc import Callable
 from typing import Any
 
 TASK_TIMEOUT_S = 40.0
-"""Seconds in which what is told to stop must have ended."""
+"""Seconds in which a stopped task must end."""
 
 
 class BackgroundTask:
-    """Something that runs in threads until it is through or told to stop."""
+    """A task that runs in threads until it is finished or stopped."""
 
     def __init__(self) -> None:
         self.error = ""
@@ -17,7 +17,7 @@
         self._threads: list[threading.Thread] = []
 
     def start(self, runs: list[Callable[[], None]]) -> None:
-        """Run each in a thread."""
+        """Run each function in a thread."""
         for run in runs:
             thread = threading.Thread(
                 target=self._run_and_record_error, args=(run,), daemon=True
@@ -28,17 +28,17 @@
     def _run_and_record_error(self, run: Callable[[], None]) -> None:
         try:
             run()
-        except Exception as error:  # told by the next expectation
+        except Exception as error:  # reported by the next expectation
             self.error = self.error or f"{type(error).__name__}: {error}"
 
     def stop(self) -> None:
-        """Have it end, and wait until it has."""
+        """Stop the task and wait up to TASK_TIMEOUT_S for each of its threads."""
         self.stopping = True
         for thread in self._threads:
             thread.join(TASK_TIMEOUT_S)
 
     def read_value(self, what: str) -> Any:
-        """Return what a scenario may expect, by name."""
+        """Return a property named in a scenario; fail if the task raised an error."""
         assert not self.error, self.error
         if what == "ended":
             return not any(thread.is_alive() for thread in self._threads)
--- a/tests/scenarios/builders.py
+++ b/tests/scenarios/builders.py
@@ -1,4 +1,4 @@
-"""Builders of what the processes of a scenario read: settings, keys, configuration."""
+"""Builders of settings, keys, configuration and request bodies for scenarios."""
 
 import hashlib
 import json
@@ -8,7 +8,7 @@
 KEY_NAMES = ("operator", "internal", "upstream")
 TOKENS_BY_WORKSPACE = {"foresters": "token-foresters", "wards": "token-wards"}
 
-# Short, so that a scenario that waits for a lease to lapse takes seconds.
+# Short, so that a scenario that waits for a lease to expire takes seconds.
 TIMINGS = {
     "heartbeat": 0.2,
     "lease": 1.5,
@@ -26,7 +26,7 @@
 
 
 def write_keys(folder: Path) -> None:
-    """Write a key file for each kind of key."""
+    """Write one file for each kind of key."""
     for name in KEY_NAMES:
         (folder / f"{name}.key").write_text(f"{name}-key\n")
 
@@ -34,7 +34,7 @@
 def settings_value(
     host: str, ports: dict[str, int], control: list[int], **changes: Any
 ) -> dict[str, Any]:
-    """Return the settings of a host; ports are those it listens on, by kind."""
+    """Return the settings of a host; ports are its listening ports by kind."""
     return {
         "host": host,
         "zone": "bole",
@@ -47,7 +47,7 @@
 
 
 def config_document() -> dict[str, Any]:
-    """Return a configuration of an engine's and a plain service, three tiers."""
+    """Return a configuration with an engine service, a plain one and three tiers."""
     return {
         "services": {
             "llm": {
@@ -76,7 +76,7 @@
 
 
 def request_body(target: str, name: str, tokens: int, **fields: Any) -> bytes:
-    """Return a body that no other request of the scenario has."""
+    """Return a request body that is unique to a name within the scenario."""
     prompt = f"The tree of {name} " * 8
     if target.startswith("/v1/chat"):
         message = {"role": "user", "content": prompt}
--- a/tests/scenarios/caller.py
+++ b/tests/scenarios/caller.py
@@ -1,4 +1,4 @@
-"""A caller of a scenario: one request, followed in a thread of its own."""
+"""A caller in a scenario: one request, sent and received in its own thread."""
 
 import contextlib
 import json
@@ -18,10 +18,10 @@
 
 @dataclass
 class Call:
-    """A request on its way, and what its caller has seen of the answer.
+    """A request and what its caller has received of the response.
 
-    whole is true only for an answer that ended by its own end mark and has the
-    expected text; cut means that the caller can see that a part is missing.
+    whole is true only for a response that is complete with its end marker and has the
+    expected text; cut means that the caller can detect that a part is missing.
     """
 
     port: int
@@ -39,16 +39,16 @@
     _socket: socket.socket | None = None
 
     def start(self) -> None:
-        """Send the request and follow its answer."""
+        """Send the request and receive the response in a thread."""
         threading.Thread(target=self.send_and_receive, daemon=True).start()
 
     def disconnect(self) -> None:
-        """Close the connection, as a caller does that has lost its patience."""
+        """Close the connection before the response is complete."""
         if self._socket is not None:
             self._socket.shutdown(socket.SHUT_RDWR)
 
     def send_and_receive(self) -> None:
-        """Send the request and follow its answer to the end."""
+        """Send the request and receive the response until it ends or breaks."""
         begun = time.monotonic()
         http = h11.Connection(h11.CLIENT)
         try:
@@ -93,27 +93,27 @@
                 self.cut = True
                 return
 
-    # What a scenario may expect, by name.
+    # Properties that scenarios can name in `expect` steps.
 
     @property
     def outcome(self) -> str | None:
-        """The X-Outcome header, or the outcome at the end of a stream."""
+        """The X-Outcome header."""
         return self.answer_headers.get("x-outcome")
 
     @property
     def request_id(self) -> str | None:
-        """The id that the entry host gave to the request."""
+        """The request id assigned by the entry host."""
         return self.answer_headers.get("x-request-id")
 
     @property
     def retry_after(self) -> float | None:
-        """Seconds after which the caller is told to come back."""
+        """The Retry-After header in seconds."""
         text = self.answer_headers.get("retry-after")
         return float(text) if text is not None else None
 
     @property
     def reason(self) -> str | None:
-        """The code in a refusal's JSON body."""
+        """The reason code in the JSON body of a refusal."""
         with contextlib.suppress(ValueError):
             document = json.loads(self.answer)
             error = document.get("error", document)
@@ -122,12 +122,12 @@
 
     @property
     def events(self) -> int:
-        """How many events of a stream have come."""
+        """Number of stream events received."""
         return self.answer.count(b"\n\n")
 
     @property
     def whole(self) -> bool:
-        """Whether the answer is the whole and true one to this request."""
+        """Whether the response is complete and the expected one for this request."""
         if not self.ended or self.cut or self.status != 200:
             return False
         if "text/event-stream" in self.answer_headers.get("content-type", ""):
@@ -139,7 +139,7 @@
 
     @property
     def looks_whole(self) -> bool:
-        """Whether a caller would take the answer for a whole one."""
+        """Whether the response would seem complete to a caller."""
         return self.ended and not self.cut and self.status == 200
 
     def _text_is_true(self) -> bool:
@@ -149,7 +149,7 @@
 
 
 def response_text(answer: bytes) -> str:
-    """Return the text that the events or the JSON of an engine's answer carry."""
+    """Return the generated text in the events or the JSON of an engine's response."""
     if not answer.startswith(b"{"):
         lines = [part for part in answer.splitlines() if part.startswith(b"data: {")]
         documents = [json.loads(part.removeprefix(b"data: ")) for part in lines]
--- a/tests/scenarios/control_steps.py
+++ b/tests/scenarios/control_steps.py
@@ -1,20 +1,23 @@
-"""The steps of the scenarios that have to do with control and its disks.
+"""Scenario steps for control, its data folders and background tasks.
 
-roles L F G                    names for the leader and the other replicas
-changes b1 at a b count=60     an operator makes changes, resending each
+roles L F G                    define aliases for the leader and the other replicas
+changes b1 at a b count=60     make a series of changes, each retried until decided
 race r1 at b c [heard] [after=0.3]
-                               two operators, one base version, answers lost
-resend b1 at a b               every change of b1 or r1 once more
-read q1 at a                   one question for the configuration
+                               make two changes of one base version; without "heard"
+                               their first responses are lost
+resend b1 at a b               send every change of b1 or r1 once more
+read q1 at a                   read the configuration once
 watch w1 at c | load l1 at a b each=2 [target=/v1/completions] | stop w1 l1
-supervise s1 at e1 e2 after=1  start each again that long after it has ended
+                               poll the version of c; send requests; stop tasks
+supervise s1 at e1 e2 after=1  restart each process that many seconds after it ends
 repeats p1 at a b every=0.4 mark=M
-                               one request with M in its prompt, again and again
-note ID c state.PATH           remember a value; $ID stands for it
+                               repeat one request that has M in its prompt
+note ID c state.PATH           save a value; $ID is replaced by it
 lose b | save b old | put_back b old | damage b
-                               the data folder of a stopped host
-repair at a remove=b add=b     bitterntiller control repair
-print l1 outcomes              for the one who reads the test's output
+                               delete, copy, restore or corrupt the data folder of a
+                               stopped host
+repair at a remove=b add=b     run bitterntiller control repair
+print l1 outcomes              print a value to the test's output
 """
 
 import os
@@ -43,7 +46,7 @@
 
 
 def split_at_hosts(words: list[str]) -> tuple[list[str], list[str], dict[str, str]]:
-    """Part "names at hosts key=value"."""
+    """Split "names at hosts key=value" into names, hosts and options."""
     options = dict(word.split("=", 1) for word in words if "=" in word)
     plain = [word for word in words if "=" not in word]
     place = plain.index("at")
@@ -51,7 +54,7 @@
 
 
 class ControlSteps:
-    """Carries out these steps; a part of the runner."""
+    """Runs these steps; base class of the runner."""
 
     _deployment: Deployment
 
@@ -61,7 +64,7 @@
         self.noted_values_by_name: dict[str, Any] = {}
 
     def resolve_aliases(self, words: list[str]) -> list[str]:
-        """Return the words of a step with the hosts behind the aliases."""
+        """Return the words of a step with aliases replaced by host names."""
         return [self.hosts_by_alias.get(word, word) for word in words]
 
     def _operator_ports(self, hosts: list[str]) -> list[int]:
@@ -75,7 +78,7 @@
             time.sleep(0.1)
         hosts = self._deployment.hosts_by_name.values()
         others = [h.name for h in hosts if "control" in h.roles and h.name != leader]
-        # An alias with other letters than a host's name never hides one.
+        # Scenarios write aliases in upper case, so that none hides the name of a host.
         self.hosts_by_alias.update(zip(words, [leader, *others], strict=False))
 
     def _find_leader(self) -> str | None:
@@ -162,13 +165,13 @@
         raise NotImplementedError
 
     def _read_control(self, host: str, what: str) -> Any:
-        """Return a value of GET /v1/control, told by the leader."""
+        """Return a value of GET /v1/control, which the leader supplies."""
         (port,) = self._operator_ports([host])
         document = self._deployment.send_request(port, "GET", "/v1/control")[1]
         return value_at(document, f"control.{what}")
 
     def _data(self, host: str) -> Path:
-        assert self._deployment.process(host).exit_code() is not None, "runs still"
+        assert self._deployment.process(host).exit_code() is not None, "still running"
         return self._deployment.folder / f"data-{host}"
 
     def _do_lose(self, hosts: list[str]) -> None:
--- a/tests/scenarios/deployment.py
+++ b/tests/scenarios/deployment.py
@@ -1,4 +1,4 @@
-"""The hosts and upstreams of a scenario, and what can be asked of them."""
+"""Hosts and upstreams of a scenario, and requests to them."""
 
 import http.client
 import json
@@ -16,7 +16,7 @@
 
 
 class Host:
-    """One process of bitterntillerd and its ports."""
+    """One bitterntillerd process and its ports."""
 
     def __init__(self, name: str, options: dict[str, str]) -> None:
         self.name = name
@@ -28,12 +28,12 @@
 
     @property
     def advertised_port(self) -> int:
-        """The internal port that other hosts are told."""
+        """The internal port that other hosts connect to: that of a proxy, if any."""
         return self.proxy.port if self.proxy else self.ports["internal"]
 
 
 class Upstream:
-    """One stand-in and its ports."""
+    """One stand-in upstream and its ports."""
 
     def __init__(self, name: str, kind: str, service: str) -> None:
         self.name = name
@@ -45,7 +45,7 @@
 
 
 class Deployment:
-    """All processes of a scenario; leaving the context ends them."""
+    """All processes of a scenario; leaving the context kills them."""
 
     def __init__(self, folder: Path, **timings: float) -> None:
         self.folder = folder
@@ -69,7 +69,7 @@
         return found.process
 
     def add_host(self, name: str, options: dict[str, str], proxied: bool) -> None:
-        """Make a host known; it starts later."""
+        """Add a host without starting it."""
         host = Host(name, options)
         self.hosts_by_name[name] = host
         if proxied:
@@ -77,7 +77,7 @@
             self._stack.callback(host.proxy.close)
 
     def start_host(self, name: str) -> None:
-        """Start a host's process, for the first time or again."""
+        """Start or restart a host's process."""
         host = self.hosts_by_name[name]
         if host.process is None:
             path = self.folder / f"{name}.json"
@@ -88,7 +88,7 @@
         host.process.start()
 
     def start_upstream(self, kind: str, name: str, options: dict[str, str]) -> None:
-        """Start a stand-in; options are its own, by name."""
+        """Start a stand-in with command-line options by name."""
         service = options.pop("service", "llm" if kind == "engine" else "registry")
         upstream = Upstream(name, kind, service)
         entry_hosts = [h.ports["caller"] for h in self.hosts_by_name.values()]
@@ -108,7 +108,7 @@
         upstream.process.start()
 
     def record_path(self, name: str) -> Path:
-        """Return the file in which a stand-in records its work."""
+        """Return the record file of a stand-in."""
         return self.folder / f"{name}.record"
 
     def records(self, kind: str) -> list[dict[str, Any]]:
@@ -128,13 +128,13 @@
             proxy.set_cut(peer, cut)
 
     def set_faults(self, name: str, document: dict[str, Any]) -> None:
-        """Order faults from a stand-in."""
+        """Set the faults of a stand-in; all others are reset."""
         port = self.upstreams_by_name[name].control_port
         status, body, _ = self.send_request(port, "POST", "/v1/faults", document)
         assert status == 200, body
 
     def apply(self, host: str, config: dict[str, Any]) -> int:
-        """Have a configuration accepted by a host's operator port; the status."""
+        """Apply a configuration at a host's operator port and return the status."""
         port = self.hosts_by_name[host].ports["operator"]
         status, body, headers = self.send_request(port, "GET", "/v1/config")
         if status != 200:
@@ -146,9 +146,10 @@
         return answer
 
     def is_ready(self, name: str) -> bool:
-        """Tell whether a host takes work, and knows the configuration if there is one.
+        """Return whether a host is ready and has a configuration once one was applied.
 
-        A host is ready without one, and gets the first one by its next heartbeat.
+        A host is ready without a configuration, and receives the first one with its
+        next heartbeat.
         """
         ports = self.hosts_by_name[name].ports
         if self.send_request(ports["caller"], "GET", "/readyz")[0] != 200:
@@ -166,7 +167,10 @@
         document: Any = None,
         headers: dict[str, str] | None = None,
     ) -> tuple[int, Any, dict[str, str]]:
-        """Ask as an operator; the status (0: no answer), JSON and headers."""
+        """Send a request with the operator key; return status, JSON and headers.
+
+        The status is 0 without a response.
+        """
         connection = http.client.HTTPConnection("127.0.0.1", port, ASK_TIMEOUT_S)
         body = None if document is None else json.dumps(document)
         fields = {"Authorization": "Bearer operator-key", **(headers or {})}
@@ -185,7 +189,7 @@
         return answer.status, parsed, {k.lower(): v for k, v in answer.getheaders()}
 
     def log_tails(self) -> str:
-        """Return the tails of all logs."""
+        """Return the last lines of all logs."""
         names = [*self.hosts_by_name, *self.upstreams_by_name]
         found = [self.hosts_by_name.get(n) or self.upstreams_by_name[n] for n in names]
         return "\n".join(log_tail(f.process) for f in found if f.process)
--- a/tests/scenarios/load.py
+++ b/tests/scenarios/load.py
@@ -1,4 +1,4 @@
-"""Callers of a scenario that go on in threads of their own."""
+"""Callers that send requests continuously beside a scenario."""
 
 import threading
 import time
@@ -12,7 +12,7 @@
 from tests.scenarios.caller import Call
 
 PAUSE_S = 0.05
-"""Seconds between two calls of one caller."""
+"""Seconds between two requests of one caller."""
 
 CALL_DEADLINE_MS = "8000"
 
@@ -25,9 +25,9 @@
 
 
 class Load(BackgroundTask):
-    """Callers who send one request after the other, some at each host.
+    """Callers that send one request after the other, the same number at each host.
 
-    Requests to an engine's path ask for streams.
+    Requests to a path of the engine service are streamed.
     """
 
     def __init__(
@@ -69,58 +69,58 @@
 
     @property
     def outcomes(self) -> dict[str, int]:
-        """How many calls ended how, by outcome and reason."""
+        """Number of requests by outcome and reason."""
         return dict(Counter(f"{c.outcome}/{c.reason or ''}" for c in self.calls))
 
     @property
     def done(self) -> int:
-        """How many were answered whole and truly."""
+        """Number of requests with a complete and correct response."""
         return sum(call.whole for call in self.calls)
 
     @property
     def not_done(self) -> int:
-        """How many were not."""
+        """Number of requests without one."""
         return len(self.calls) - self.done
 
     @property
     def done_last(self) -> int:
-        """How many of the last LAST_CALLS were answered whole and truly."""
+        """Complete and correct responses among the last LAST_CALLS requests."""
         return sum(call.whole for call in self.calls[-LAST_CALLS:])
 
     @property
     def quarantined(self) -> int:
-        """How many were refused as requests that crash upstreams."""
+        """Number of requests refused because they crash upstreams."""
         return sum(call.reason == QUARANTINE_REASON for call in self.calls)
 
     @property
     def cut(self) -> int:
-        """How many saw their connection break off."""
+        """Number of requests whose connection broke."""
         return sum(call.cut or call.status is None for call in self.calls)
 
     @property
     def no_owner(self) -> int:
-        """How many were refused because the pool had no owner."""
+        """Number of requests refused because the pool had no owner."""
         return sum(call.reason == "no-owner" for call in self.calls)
 
     @property
     def unknown(self) -> int:
-        """How many heard that it is not known whether they ran."""
+        """Number of responses with outcome unknown."""
         return sum(call.outcome == "unknown" for call in self.calls)
 
     @property
     def runs_of(self) -> Counter[str]:
-        """How often each body ran, by its digest."""
+        """Number of executions of each request body, by its digest."""
         return Counter(record["digest"] for record in self._records("run"))
 
     @property
     def twice(self) -> int:
-        """How many ran more than once."""
+        """Number of requests that ran more than once."""
         runs = self.runs_of
         return sum(runs[digest(call.body)] > 1 for call in self.calls)
 
     @property
     def lies(self) -> int:
-        """How many heard not-run though they ran."""
+        """Number of responses with outcome not-run although the request ran."""
         runs = self.runs_of
-        told = [call for call in self.calls if call.outcome == "not-run"]
-        return sum(runs[digest(call.body)] > 0 for call in told)
+        not_run = [call for call in self.calls if call.outcome == "not-run"]
+        return sum(runs[digest(call.body)] > 0 for call in not_run)
--- a/tests/scenarios/operators.py
+++ b/tests/scenarios/operators.py
@@ -1,4 +1,4 @@
-"""Operators of a scenario that go on in threads of their own."""
+"""Operators that change and read the configuration beside a scenario."""
 
 import hashlib
 import http.client
@@ -11,14 +11,17 @@
 from tests.scenarios.background import TASK_TIMEOUT_S, BackgroundTask
 
 SendRequest = Callable[..., tuple[int, Any, dict[str, str]]]
-"""Deployment.ask: port, method, target, document and headers to an answer."""
+"""Type of Deployment.send_request."""
 
 DECIDED_STATUSES = (200, 409, 422)
 PAUSE_S = 0.05
 
 
 class ChangeRequest:
-    """One change, always sent with the same id, base version and document."""
+    """A configuration change; each copy has the same id, base version and document.
+
+    responses holds the status and version of each decided response.
+    """
 
     def __init__(self, change_id: str, base: int, config: dict[str, Any]) -> None:
         self.change_id = change_id
@@ -28,11 +31,11 @@
 
     @property
     def headers(self) -> dict[str, str]:
-        """The headers of the PUT but for the key."""
+        """The request headers without the authorization."""
         return {"If-Match": f'"{self.base}"', "Idempotency-Key": self.change_id}
 
     def send(self, send_request: SendRequest, port: int) -> int:
-        """Send it and note a decided answer; return the status, 0 for none."""
+        """Send the change once and return the status, 0 without a response."""
         status, body, _ = send_request(
             port, "PUT", "/v1/config", self.config, self.headers
         )
@@ -41,7 +44,7 @@
         return status
 
     def send_until_decided(self, send_request: SendRequest, ports: list[int]) -> None:
-        """Send it at one port after the other."""
+        """Send the change to the ports in turn until it is decided."""
         until = time.monotonic() + TASK_TIMEOUT_S
         count = 0
         while (
@@ -53,11 +56,10 @@
             time.sleep(PAUSE_S)
 
     def send_and_disconnect(self, port: int) -> None:
-        """Send it and close the connection before an answer can come.
+        """Send the change and close the connection before a response can arrive.
 
-        A host that is killed by the next step of a scenario may refuse the connection
-        or break it meanwhile; its operator has then heard no answer either, and sends
-        it again later.
+        A host that the next step of a scenario kills may refuse or break the connection
+        meanwhile; then there is no response either, and the change is sent again later.
         """
         connection = http.client.HTTPConnection("127.0.0.1", port, 5.0)
         fields = {"Authorization": "Bearer operator-key", **self.headers}
@@ -72,12 +74,12 @@
 
     @property
     def is_consistent(self) -> bool:
-        """Whether it was decided, and all answers say the same."""
+        """Whether the change was decided, with the same result in all responses."""
         return len(set(self.responses)) == 1
 
 
 class ChangeSeries(BackgroundTask):
-    """An operator who makes change after change, each adding a workspace."""
+    """An operator that makes a series of changes, each adding a workspace."""
 
     def __init__(
         self,
@@ -119,10 +121,10 @@
             status, body, _ = self._send_request(port, "GET", "/v1/config")
             if status == 200:
                 return body["version"], body["config"]
-        raise TimeoutError("no host tells the configuration")
+        raise TimeoutError("no host returned the configuration")
 
     def resend(self, ports: list[int]) -> None:
-        """Send every change once more, in the order from the newest."""
+        """Send every change once more, newest first."""
         for number, put in enumerate(reversed(self.puts)):
             put.send_until_decided(
                 self._send_request, ports[number % len(ports) :] + ports
@@ -130,33 +132,34 @@
 
     @property
     def accepted(self) -> int:
-        """How many changes were accepted."""
+        """Number of accepted changes."""
         return sum(
             bool(put.responses) and put.responses[0][0] == 200 for put in self.puts
         )
 
     @property
     def steady(self) -> bool:
-        """Whether each change has one outcome."""
+        """Whether each change has a single outcome."""
         return all(put.is_consistent for put in self.puts)
 
     @property
     def consecutive(self) -> bool:
-        """Whether the versions of the accepted changes leave none out."""
+        """Whether the versions of the accepted changes have no gaps."""
         found = [put.responses[0][1] for put in self.puts if put.responses[0][0] == 200]
         return found == list(range(found[0], found[0] + len(found)))
 
     @property
     def kept(self) -> bool:
-        """Whether the configuration has all accepted changes."""
+        """Whether the configuration contains all accepted changes."""
         names = {put.change_id for put in self.puts if put.responses[0][0] == 200}
         return names <= self._read()[1]["workspaces"].keys()
 
 
 class ConcurrentChanges(BackgroundTask):
-    """Two operators with one base version.
+    """Two operators that change the same base version at two hosts.
 
-    They send after so many seconds, and lose their first answers unless heard.
+    Both send after the same delay in seconds. Unless reads_response, each disconnects
+    before its first response.
     """
 
     def __init__(
@@ -194,29 +197,29 @@
         return config | {"tiers": config["tiers"] | {"gold": gold}}
 
     def resend(self, ports: list[int]) -> None:
-        """Send both changes again at each host."""
+        """Send both changes again to each host."""
         for port in ports:
             for put in self._puts:
                 put.send_until_decided(self._send_request, [port, *ports])
 
     @property
     def winners(self) -> int:
-        """How many were accepted, by any answer."""
+        """Number of changes accepted in any response."""
         return sum(any(h[0] == 200 for h in put.responses) for put in self._puts)
 
     @property
     def conflicts(self) -> int:
-        """How many heard of a conflict, by any answer."""
+        """Number of changes with a conflict in any response."""
         return sum(any(h[0] == 409 for h in put.responses) for put in self._puts)
 
     @property
     def steady(self) -> bool:
-        """Whether each of them always heard the same."""
+        """Whether each change has a single outcome."""
         return all(put.is_consistent for put in self._puts)
 
 
 class ConfigRead(BackgroundTask):
-    """One question for the configuration, which a frozen host answers later."""
+    """One read of the configuration; a frozen host may respond to it later."""
 
     def __init__(self, send_request: SendRequest, port: int) -> None:
         super().__init__()
@@ -233,7 +236,7 @@
 
 
 class VersionWatch(BackgroundTask):
-    """Looks again and again at the version that a host holds."""
+    """Polls the configuration version of a host."""
 
     def __init__(self, send_request: SendRequest, port: int) -> None:
         super().__init__()
@@ -253,6 +256,6 @@
 
     @property
     def falls(self) -> int:
-        """How often a lower version came after a higher one."""
+        """Number of times the version decreased."""
         pairs = zip(self.versions, self.versions[1:], strict=False)
         return sum(later < earlier for earlier, later in pairs)
--- a/tests/scenarios/processes.py
+++ b/tests/scenarios/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a scenario: started here, watched here, ended by their ids."""
+"""Processes of a scenario: start, observe and signal them by process id."""
 
 import os
 import random
@@ -13,17 +13,19 @@
 KILL_TIMEOUT_S = 5.0
 PORTS = (12_000, 32_000)
 
-_RANDOM = random.SystemRandom()  # not the one that a plugin seeds for each test
+_RANDOM = (
+    random.SystemRandom()
+)  # not the global generator, which a plugin seeds for each test
 _reserved: list[socket.socket] = []
 
 
 def free_port() -> int:
-    """Return a loopback port that nothing has, reserved for as long as this runs.
+    """Return a free loopback port, reserved until this process exits.
 
-    Ports of the range that the system gives to outgoing connections would be
-    taken by one of those before the process that is told this one listens. The
-    socket stays bound, so that another run of the tests can't draw the port; one
-    that reuses addresses, as all servers here do, can still listen at it.
+    It lies below the ephemeral range: an outgoing connection could take a port of that
+    range before the started process listens on it. The socket stays bound, so that a
+    concurrent test run can't get the same port; servers that set SO_REUSEADDR, as all
+    servers here do, can still listen on it.
     """
     while True:
         port = _RANDOM.randrange(*PORTS)
@@ -39,7 +41,7 @@
 
 
 class Process:
-    """One process; its output goes to a log file that is kept."""
+    """A process that writes to a log file; the log survives restarts."""
 
     def __init__(self, name: str, module: str, arguments: list[str], folder: Path):
         self.name = name
@@ -50,12 +52,12 @@
 
     @property
     def pid(self) -> int:
-        """The id of the process that runs or ran last."""
+        """The id of the current or last process."""
         assert self._popen is not None, f"{self.name} was not started"
         return self._popen.pid
 
     def start(self) -> None:
-        """Start it, once more if it has ended."""
+        """Start the process, or restart it after it ended."""
         environment = os.environ | {"PYTHONPATH": str(ROOT)} | self._environment
         with self.log.open("ab") as log:
             self._popen = subprocess.Popen(
@@ -63,22 +65,22 @@
             )
 
     def signal(self, number: int) -> None:
-        """Send a signal, by the process's id."""
+        """Send a signal to the process."""
         os.kill(self.pid, number)
 
     def kill(self) -> None:
-        """End it at once and wait until it is gone."""
+        """Send SIGKILL and wait until the process has ended."""
         if self._popen is None or self._popen.poll() is not None:
             return
         self.signal(signal.SIGKILL)
         self._popen.wait(KILL_TIMEOUT_S)
 
     def exit_code(self) -> int | None:
-        """Return how it ended, None while it runs."""
+        """Return the exit code, None while the process runs."""
         return self._popen.poll() if self._popen is not None else None
 
     def owns_socket(self, names: set[str]) -> bool:
-        """Tell whether it has open one of the sockets with these names."""
+        """Return whether the process has one of the named sockets open."""
         try:
             found = [os.readlink(f.path) for f in os.scandir(f"/proc/{self.pid}/fd")]
         except OSError:
@@ -87,9 +89,9 @@
 
 
 def socket_names_at_port(port: int) -> set[str]:
-    """Return the names of the TCP sockets of this machine with a local port."""
-    # The table has thousands of lines when much else runs here, and is read for
-    # each new connection of a proxy.
+    """Return the /proc names of TCP sockets on this machine with a local port."""
+    # The table has thousands of lines on a busy machine, and is read for each new
+    # connection of a proxy, so lines are filtered by text before they are split.
     local = f":{port:04X}"
     table = Path("/proc/net/tcp").read_text()
     lines = (line.split() for line in table.splitlines() if local in line)
@@ -97,14 +99,14 @@
 
 
 def log_tail(process: Process, lines: int = 30) -> str:
-    """Return the tail of a process's log, for the report of a failure."""
+    """Return the last lines of a process's log, for the report of a failure."""
     text = process.log.read_text(errors="replace") if process.log.exists() else ""
     tail = "\n".join(text.splitlines()[-lines:])
     return f"--- {process.name} (exit code {process.exit_code()})\n{tail}"
 
 
 def value_at(document: Any, path: str) -> Any:
-    """Return what stands at a dotted path in a document, None when nothing does."""
+    """Return the value at a dotted path in a JSON document, None if there is none."""
     for part in path.split("."):
         if isinstance(document, list) and part.isdigit():
             document = dict(enumerate(document)).get(int(part))
--- a/tests/scenarios/proxy.py
+++ b/tests/scenarios/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy between two hosts of a scenario, which can be cut and healed."""
+"""TCP proxy in front of a host that can simulate network partitions."""
 
 import contextlib
 import socket
@@ -10,15 +10,14 @@
 CONNECT_TIMEOUT_S = 2.0
 PEER_LOOKUP_ATTEMPTS = 20
 PEER_LOOKUP_PAUSE_S = 0.05
-"""Looks for who has dialled, and seconds between two of them."""
+"""Attempts to find the connecting host, and seconds between two of them."""
 
 
 class Proxy:
-    """Passes connections on to one host's internal port.
+    """Forwards connections to one host's internal port.
 
-    A cut lets no byte through in either direction, and closes nothing: the ends
-    see silence, as they do when a network drops their packets. After the cut the
-    bytes held back go on, as TCP would send them again.
+    A cut stops all bytes in both directions and closes nothing, as when a network drops
+    packets. After the cut the held bytes are forwarded, as TCP would retransmit them.
     """
 
     def __init__(self, target_port: int, host_at_port: Callable[[int], str]) -> None:
@@ -31,7 +30,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def set_cut(self, peer: str, cut: bool) -> None:
-        """Hold or pass on what goes from and to a host."""
+        """Hold or forward all bytes from and to a peer host."""
         event = self._gate(peer)
         event.clear() if cut else event.set()
 
@@ -84,10 +83,11 @@
             ).start()
 
     def _find_peer(self, port: int) -> str:
-        """Return the host that has dialled from a port, empty when it has closed it.
+        """Return the host that connected from a port, empty if it is not found.
 
-        The kernel's list of sockets may lack one while others come and go. Passed on as
-        nobody's, its connection would be open through a cut.
+        The kernel's socket table may miss a socket while others open and close, so the
+        lookup is retried. A connection without a known host is closed: forwarded, it
+        would bypass a cut.
         """
         for _ in range(PEER_LOOKUP_ATTEMPTS):
             if peer := self._host_at_port(port):
--- a/tests/scenarios/repeated_request.py
+++ b/tests/scenarios/repeated_request.py
@@ -1,4 +1,4 @@
-"""A request that is sent again and again, and engines that are started again."""
+"""A repeated request that crashes engines, and a supervisor that restarts them."""
 
 import time
 from collections.abc import Callable
@@ -17,11 +17,11 @@
 
 CRASHES_ALLOWED = 3
 PROPAGATION_SECONDS = 3.0
-"""How long after the last allowed crash hosts may not yet have heard of it."""
+"""Time in which a crash or another report reaches all hosts."""
 
 
 class Supervisor(BackgroundTask):
-    """Starts each process again, some seconds after it has ended."""
+    """Restarts each process some seconds after it ended."""
 
     def __init__(self, processes: list[Process], after: float) -> None:
         super().__init__()
@@ -40,7 +40,7 @@
 
 
 class RepeatedRequest(BackgroundTask):
-    """One caller who sends the same request to one host after the other."""
+    """A caller that sends the same request to the hosts in turn."""
 
     def __init__(
         self,
@@ -72,12 +72,12 @@
 
     @property
     def crashes(self) -> int:
-        """How many upstreams ended that ran it."""
+        """Number of upstreams that crashed on the request."""
         return len(self._records("crash"))
 
     @property
     def runs_too_many(self) -> int:
-        """How often it began to run after hosts had to know what it does."""
+        """Number of runs after the quarantine must have reached all hosts."""
         ends = sorted(record["time"] for record in self._records("crash"))
         if len(ends) < CRASHES_ALLOWED:
             return 0
@@ -87,12 +87,12 @@
 
     @property
     def last(self) -> str:
-        """How the last call ended that has: status and reason."""
+        """Status and reason of the latest finished call."""
         ended = [call for call in self.calls if call.ended]
         return f"{ended[-1].status}/{ended[-1].reason or ''}" if ended else ""
 
     @property
     def last_retry_after(self) -> float:
-        """When the caller of the last call was told to come back, in seconds."""
+        """Retry-After of the latest finished call, in seconds."""
         ended = [call for call in self.calls if call.ended]
         return (ended[-1].retry_after or 0.0) if ended else 0.0
--- a/tests/scenarios/runner.py
+++ b/tests/scenarios/runner.py
@@ -1,36 +1,37 @@
-"""The small language of the scenarios: one step a line.
+"""Interpreter of the scenario language, which has one step per line.
 
-    # The story, at the head of the file.
-    use three-hosts                         the steps of three-hosts.part
-    host a b roles=entry,dispatch,control   make hosts known; proxied: can be cut
+    # The failure that the scenario guards against, at the head of the file.
+    use three-hosts                         run the steps of three-hosts.part
+    host a b roles=entry,dispatch,control   define hosts; proxied: can be cut off
     start a b | kill a | term a | freeze a | thaw a | restart a
-    engine e1 token-ms=5 labels=zone=bole   a model engine's stand-in (plain: a
-                                            plain service's)
-    apply a [tiers.gold.deadline_ms=500]    accept the configuration by host a
-    fault e1 reset_after=3 times=1          the faults of standins/faults.py
-    rollout llm at a to=v2 seconds=8        order a rollout; status=409 if it is refused
+    engine e1 token-ms=5 labels=zone=bole   start a stand-in engine (plain: a plain
+                                            service)
+    apply a [tiers.gold.deadline_ms=500]    apply the configuration at host a
+    fault e1 reset_after=3 times=1          set faults of standins/faults.py
+    rollout llm at a to=v2 seconds=8        start a rollout; status=409: it is refused
     request r1 at a POST /v1/completions stream tokens=50 tier=gold key=K
-    burst b 20 at a POST /v1/completions    requests b1 to b20; b* means all
-    copy r2 of r1 at b                      the same request once more
-    leave r1                                the caller goes away
+    burst b 20 at a POST /v1/completions    send requests b1 to b20; b* means all
+    copy r2 of r1 at b                      send the same request once more
+    leave r1                                disconnect the caller
     cut a b | heal a b | pause 0.5s
-    expect r1 whole                         names of Call, or runs, resumes,
-    expect r1 runs == 1                     cancelled, upstream; truthful: no
-                                            not-run that ran, nothing ran twice
+    expect r1 whole                         a property of Call, or runs, resumes,
+    expect r1 runs == 1                     cancelled, finished, upstream, truthful:
+                                            at most one run, none with not-run
     expect a ready == true                  ready, alive, exit, version, log (its
                                             text), state.PATH, control.PATH,
                                             rollout.SERVICE.FIELD
     expect e1 accepted                      an announcement was accepted
-    expect e1 orders == 1                   orders that it carried out
-    expect e1 runs >= 2                     runs since the fault or signal: new_runs
-    expect e1 late_runs == 0                the same, ROLLBACK_SECONDS later on
-    expect e1 most_runs <= 17               in some WINDOW_SECONDS, from
+    expect e1 orders == 1                   number of executed orders
+    expect e1 runs >= 2                     number of runs; new_runs: since the last
+                                            fault, signal or rollout
+    expect e1 late_runs == 0                runs from ROLLBACK_SECONDS after that on
+    expect e1 most_runs <= 17               maximum in any WINDOW_SECONDS, from
                                             PROPAGATION_SECONDS after the fault on
-    within 5s expect ...                    the same, with patience
-    at-least 2 expect b* whole              true of so many of them
+    within 5s expect ...                    retry the expectation for that time
+    at-least 2 expect b* whole              the expectation holds for so many of them
 
-A value is JSON, or a word; `in` takes several parted by commas. The steps that have
-to do with control and its disks stand in control_steps.py.
+A value is JSON or a word; `in` takes values separated by commas. control_steps.py has
+the steps for control, its data folders and background tasks.
 """
 
 import json
@@ -54,7 +55,7 @@
 POLL_S = 0.02
 WINDOW_SECONDS = 4.0
 ROLLBACK_SECONDS = 5.0
-"""How long after a signal or order late_runs begin to count."""
+"""late_runs counts runs from this long after a fault, signal or rollout."""
 
 SIGNALS_BY_STEP = {
     "kill": signal.SIGKILL,
@@ -80,7 +81,7 @@
 
 
 def parse_value(text: str) -> Any:
-    """Return the value that a word of a step stands for."""
+    """Return a word of a step as JSON value, or as text if it is not JSON."""
     try:
         return json.loads(text)
     except ValueError:
@@ -88,13 +89,13 @@
 
 
 def split_options(words: list[str]) -> tuple[list[str], dict[str, str]]:
-    """Part the plain words of a step from its key=value options."""
+    """Split a step into its plain words and its key=value options."""
     options = dict(word.split("=", 1) for word in words if "=" in word)
     return [word for word in words if "=" not in word], options
 
 
 class Runner(ControlSteps):
-    """Carries out the steps of one scenario."""
+    """Runs the steps of one scenario."""
 
     def __init__(self, deployment: Deployment) -> None:
         super().__init__()
@@ -103,7 +104,7 @@
         self._action_time_by_name: dict[str, float] = {}
 
     def run(self, path: Path) -> None:
-        """Run a scenario file; raise AssertionError naming the line that failed."""
+        """Run a scenario file; raise AssertionError with the line that failed."""
         self._folder = path.parent
         for number, line in enumerate(path.read_text().splitlines(), 1):
             words = shlex.split(line, comments=True)
@@ -248,12 +249,12 @@
 
     def _do_within(self, words: list[str]) -> None:
         timeout_s = float(words[0].removesuffix("s"))
-        assert words[1] == "expect", "only an expectation can be waited for"
+        assert words[1] == "expect", "`within` must be followed by `expect`"
         self._retry_for(timeout_s, lambda: self._do_expect(words[2:]))
 
     def _do_at_least(self, words: list[str]) -> None:
         wanted = int(words[0])
-        assert words[1] == "expect", "only expectations can be counted"
+        assert words[1] == "expect", "`at-least` must be followed by `expect`"
         name, *rest = words[2:]
         met = 0
         for one in self._calls_named(name):
@@ -262,7 +263,7 @@
                 met += 1
             except AssertionError:
                 continue
-        assert met >= wanted, f"{' '.join(rest)} is true of {met} of {name}"
+        assert met >= wanted, f"{' '.join(rest)} holds for {met} of {name}"
 
     def _calls_named(self, name: str) -> list[str]:
         names = [n for n in self._calls_by_name if n.startswith(name[:-1])]
@@ -293,9 +294,9 @@
         compare, text = rest
         expected = text if compare in ("in", "has") else parse_value(text)
         expected = self.noted_values_by_name.get(text, expected)
-        # A host that does not answer has not got another value than a noted one.
+        # A host that does not respond must not count as different from a noted value.
         if found is None and (compare not in ("==", "!=") or text.startswith("$")):
-            raise AssertionError(f"{name} {what} is not there")
+            raise AssertionError(f"{name} {what} has no value")
         assert COMPARE[compare](found, expected), f"{name} {what} is {found!r}"
 
     def _read_value(self, name: str, what: str) -> Any:
@@ -368,14 +369,14 @@
 
 
 def max_in_window(times: list[float]) -> int:
-    """Return how many of some points in time lie in one window at most."""
+    """Return the maximum number of times within any window of WINDOW_SECONDS."""
     times = sorted(times)
     begins = (bisect_left(times, end - WINDOW_SECONDS) for end in times)
     return max((n + 1 - begin for n, begin in enumerate(begins)), default=0)
 
 
 def is_run_of(record: dict[str, Any], call: Call) -> bool:
-    """Tell whether a recorded run is one of a caller's request."""
+    """Return whether a recorded run belongs to a caller's request."""
     if record["path"] != call.target:
         return False
     return record["digest"] == digest(call.body)
--- a/tests/scenarios/test_proxy.py
+++ b/tests/scenarios/test_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy between two hosts of a scenario."""
+"""Tests of the TCP proxy that simulates partitions."""
 
 import socket
 
@@ -16,11 +16,11 @@
 
 
 @pytest.mark.parametrize("unknown", [1, 1000])
-def test_a_cut_holds_for_a_host_that_is_not_found_at_once(monkeypatch, unknown):
-    """A host that is cut off gets a lease, and answers a read of the configuration.
+def test_cut_holds_for_a_host_that_is_not_found_at_once(monkeypatch, unknown):
+    """A partitioned host got a lease and served a read of the configuration.
 
-    The search for who has dialled misses the socket once, beside load. The connection
-    counts as nobody's, and nobody is cut.
+    Under load, the lookup of the connecting host missed its socket once, and the
+    connection was forwarded in spite of the cut.
     """
     monkeypatch.setattr(proxy, "PEER_LOOKUP_PAUSE_S", 0.001)
     looks = iter(range(10_000))
--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Runs every scenario of the folder files/ against real processes."""
+"""Run every scenario of the folder files/ against real processes."""
 
 from pathlib import Path
 
@@ -12,6 +12,6 @@
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
 def test_scenario(path: Path, tmp_path: Path) -> None:
-    """The story stands at the head of the scenario's file."""
+    """The comment at the head of each file names the failure that it guards against."""
     with Deployment(tmp_path) as deployment:
         Runner(deployment).run(path)
