--- a/bitterntiller/components/links/__init__.py
+++ b/bitterntiller/components/links/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between the hosts: set-up and unloading."""
+"""Set-up of the links, which carry messages between hosts."""
 
 from bitterntiller.components.links.coordinator import LinkCoordinator
 from bitterntiller.components.links.diagnostics import describe
@@ -6,7 +6,7 @@
 
 
 async def async_setup(runtime: Runtime, links: LinkCoordinator) -> None:
-    """Listen for peers; unloaded with the runtime's stack."""
+    """Listen for peers until the runtime's stack is unwound."""
     runtime.stack.push_async_callback(links.async_close)
     await runtime.async_spawn(links.async_serve(runtime))
     runtime.add_diagnostics("links", lambda: describe(links))
--- a/bitterntiller/components/links/connection.py
+++ b/bitterntiller/components/links/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a peer: a queue of frames out, calls that await replies."""
+"""A connection to a peer, with a send queue and pending calls."""
 
 import itertools
 from collections import deque
@@ -23,7 +23,7 @@
 
 
 class _PendingCall:
-    """A call whose reply is awaited."""
+    """A call that waits for its reply."""
 
     def __init__(self) -> None:
         self.done = curio.Event()
@@ -31,7 +31,7 @@
 
 
 class Connection:
-    """Sends and receives frames over a socket whose handshake is done."""
+    """Sends and receives frames over a socket after the handshake."""
 
     def __init__(
         self,
@@ -56,12 +56,12 @@
         self._send_pending = curio.Event()
 
     def send(self, message: Any, call: int = 0, reply: bool = False) -> bool:
-        """Queue a frame without waiting; False when it will not leave."""
+        """Queue a frame without waiting; return False if it will not be sent."""
         if not self.open:
             return False
         data = pack(message, call, reply)
-        # A peer that reads too slowly would otherwise fill this host's memory;
-        # it shows as a growing queue, and its messages are all repeatable.
+        # A peer that reads too slowly would otherwise fill this host's memory. Dropping
+        # a message is safe, since all messages can be repeated.
         if self._queued_bytes + len(data) > const.MAX_QUEUED_BYTES:
             self._metrics.count(const.METRIC_QUEUE_FULL)
             return False
@@ -71,13 +71,13 @@
         return True
 
     async def async_flush_soon(self) -> None:
-        """Wake the writer after send(), and the watch that it may be asleep."""
+        """Wake the writer after send(), and the liveness check if it is paused."""
         await self._wake.set()
         if not self._send_pending.is_set():
             await self._send_pending.set()
 
     async def async_call(self, message: Any, timeout: float) -> Any:
-        """Send and return the reply; raise LinkError."""
+        """Send a message and return its reply; raise LinkError."""
         number = next(self._numbers)
         pending = _PendingCall()
         self._calls_by_number[number] = pending
@@ -99,7 +99,7 @@
         return pending.reply
 
     async def async_run(self) -> None:
-        """Read and write until the connection ends; then fail what is pending."""
+        """Read and write until the connection ends, then fail all pending calls."""
         try:
             async with curio.TaskGroup(wait=any) as group:
                 await group.spawn(self._async_write)
@@ -112,12 +112,12 @@
                 await pending.done.set()
 
     async def _async_check_liveness(self) -> None:
-        """Return when the connection has gone silent for good.
+        """Return once the peer has not responded for MAX_SILENT_PERIODS.
 
-        Some connections lose all that is sent on them while new ones work. Nothing
-        resets them, and the kernel notices by its own timeouts only, after seconds in
-        which no message reaches the peer. While nothing is sent nothing is looked at:
-        a host of control has a connection to every other host, most of them quiet.
+        A connection can lose all its packets without a reset while new connections
+        work. The kernel detects that only after seconds of its own timeouts, in which
+        no message reaches the peer. The check is paused while nothing is sent, since a
+        control host has a connection to every other host and most of them are idle.
         """
         silent = 0
         while silent < const.MAX_SILENT_PERIODS:
@@ -164,8 +164,8 @@
         except OSError:
             return
         except MalformedMessageError:
-            # A peer of another version or a damaged stream: nothing after this
-            # point can be trusted, so the connection is given up and dialled anew.
+            # The peer has another version or the stream is damaged. The rest can't be
+            # trusted, so the connection is closed and opened again.
             self._metrics.count(const.METRIC_MALFORMED)
 
     async def _async_on_frame(self, incoming: Incoming) -> None:
--- a/bitterntiller/components/links/const.py
+++ b/bitterntiller/components/links/const.py
@@ -10,22 +10,23 @@
 
 HANDSHAKE_TIMEOUT = 2.0
 CONNECT_TIMEOUT = 0.3
-"""Seconds; a host without power answers no dial, and the kernel tries again after 1 s.
+"""Seconds to open a connection.
 
-A dial that begins just before the host is back must not cost that second: replicas that
-are started together then wait for each other. 0.3 s are many round trips, also between
-regions.
+A host without power does not respond, and the kernel retries the SYN only after 1 s.
+An attempt that begins just before the host is up must not take that second, since
+replicas that start together wait for each other. 0.3 s are many round trips, even
+between regions.
 """
 
 KEEPALIVE_TIMEOUT = 4
 REDIAL_DELAY = 0.1
-"""Seconds in which messages to a host that could not be reached are dropped at once."""
+"""Seconds in which messages to an unreachable host fail without a new attempt."""
 
 LIVENESS_CHECK_PERIOD = 0.3
 MAX_SILENT_PERIODS = 3
-"""A connection on which something was sent and nothing came for so many periods, a ping
-not answered among it, is given up. That is 0.9 to 1.2 s, several times what a process
-stands still at most, and less than a lease of the configuration bears."""
+"""A connection is closed if data was sent and nothing, not even the reply to a ping,
+was received for this many periods. That is 0.9 to 1.2 s: several times the longest
+pause of a process, and less than a configuration lease allows."""
 
 FAULT_UNAUTHORIZED = 401
 FAULT_MALFORMED = 400
--- a/bitterntiller/components/links/coordinator.py
+++ b/bitterntiller/components/links/coordinator.py
@@ -1,4 +1,4 @@
-"""Connections to all peers of this host, and the handlers of their messages."""
+"""Connections to all peers of this host, and the handlers of messages."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, NamedTuple
@@ -27,18 +27,18 @@
 
 
 class Dial(NamedTuple):
-    """A dial under way; settled once it has ended, or the peer has dialled here."""
+    """A connection attempt; settled once it ended or the peer connected first."""
 
     task: curio.Task
     settled: curio.Event
 
 
 class LinkCoordinator:
-    """Carries messages between this host and its peers.
+    """Sends and receives messages between this host and its peers.
 
-    A message to the own address is handed to its handler without a socket. A
-    message without a reply is handled in the order of arrival; a call is handled
-    in a task of its own, so that a slow one holds up nothing.
+    A message to this host's own address is passed to its handler without a socket.
+    Messages without a reply are handled in order of arrival; each call is handled in
+    its own task, so that a slow one does not delay others.
     """
 
     def __init__(
@@ -63,18 +63,18 @@
         self._disconnect_listeners: list[Callable[[], Awaitable[None]]] = []
 
     def add_disconnect_listener(self, listener: Callable[[], Awaitable[None]]) -> None:
-        """Have a callback awaited when a connection to a peer has ended."""
+        """Register a callback that is awaited when a connection to a peer ends."""
         self._disconnect_listeners.append(listener)
 
     def handle(self, cls: type, handler: MessageHandler) -> Callable[[], None]:
-        """Have a handler called for each message of a type; return the removal."""
+        """Register the handler of a message type; return a function to remove it."""
         if cls in self._handlers_by_type:
-            raise BrokenInvariantError(f"two handlers of {cls.__name__}")
+            raise BrokenInvariantError(f"two handlers for {cls.__name__}")
         self._handlers_by_type[cls] = handler
         return lambda: self._handlers_by_type.pop(cls, None)
 
     async def async_send(self, address: str, message: Any) -> bool:
-        """Send without a reply; False when it certainly did not leave."""
+        """Send without a reply; return False if it was certainly not sent."""
         if address == self.own.address:
             await curio.spawn(self._async_handle, self.own.host, message, daemon=True)
             return True
@@ -85,11 +85,11 @@
         return True
 
     async def async_call(self, address: str, message: Any, timeout: float) -> Any:
-        """Send and return the reply; raise LinkError.
+        """Send a message and return its reply; raise LinkError.
 
-        The timeout counts for dialling too: a peer that was stopped takes the
-        connection and never answers the handshake, which takes longer than most
-        callers can wait.
+        The timeout includes opening the connection. The kernel of a suspended peer
+        accepts connections, but the handshake gets no response and its own timeout is
+        longer than most callers can wait.
         """
         if address == self.own.address:
             return await self._async_call_own(message, timeout)
@@ -111,7 +111,7 @@
         raise LinkTimeoutError(f"own handler took over {timeout} s")
 
     def connected(self) -> dict[str, str]:
-        """Return the peers with an open connection: name by address."""
+        """Return the names of peers with an open connection, by address."""
         return {
             address: connection.peer.host
             for address, connection in self._connections_by_address.items()
@@ -119,13 +119,13 @@
         }
 
     async def async_serve(self, runtime: Runtime) -> None:
-        """Accept connections of peers until cancelled."""
+        """Accept connections from peers until cancelled."""
         self._runtime = runtime
         listener = Listener(self._listen.ip, self._listen.port, self._async_accept)
         await listener.async_serve(runtime)
 
     async def async_close(self) -> None:
-        """End all connections and calls."""
+        """Close all connections and end their calls."""
         for task in list(self._running_by_connection.values()):
             await task.cancel()
         for dial in list(self._dials_by_address.values()):
@@ -146,11 +146,11 @@
         await self._async_run(connection)
 
     async def _async_store(self, address: str, connection: Connection) -> None:
-        """Use the connection for sending, unless an open one is in use.
+        """Use the connection for sending, unless an open one exists.
 
-        Changing an open connection for another could let a later message
-        overtake an earlier one. One to an earlier start of the peer is changed:
-        that process has ended, and what is sent there reaches nobody.
+        Replacing an open connection could let a later message overtake an earlier one.
+        A connection to an earlier run of the peer is replaced, since that process has
+        ended and receives nothing.
         """
         present = self._connections_by_address.get(address)
         if (
@@ -179,8 +179,8 @@
         if connection is not None and connection.open:
             return connection
         failed_at = self._failed_at_by_address.get(address)
-        # A dead host must cost its callers nothing: without this pause each
-        # message to it would wait for a connection of its own.
+        # Without this delay each message to a failed host would wait for a connection
+        # attempt of its own.
         if failed_at is not None and self._clock.now() - failed_at < const.REDIAL_DELAY:
             return None
         dial = self._dials_by_address.get(address)
@@ -188,8 +188,8 @@
             settled = curio.Event()
             task = await curio.spawn(self._async_dial, address, settled, daemon=True)
             dial = self._dials_by_address[address] = Dial(task, settled)
-        # A peer that has just been started may dial this host first, while the dial
-        # from here hangs at the port that it had not opened yet.
+        # A peer that has just started may connect first, while the attempt from here
+        # still waits for a port that was not open yet.
         await dial.settled.wait()
         connection = self._connections_by_address.get(address)
         return connection if connection is not None and connection.open else None
@@ -215,8 +215,8 @@
             enable_keepalive(sock, const.KEEPALIVE_TIMEOUT)
             peer = await handshake.async_connect(sock, self._key, self.own, address)
         except BaseException:
-            # Left open, the socket of each failed handshake would stay until the
-            # process has no file descriptor left.
+            # Failed handshakes would otherwise leak sockets until no file descriptor
+            # is left.
             await sock.close()
             raise
         return Connection(sock, peer, self._async_incoming, self._metrics)
@@ -250,15 +250,15 @@
         try:
             return await handler(host, message)
         except BrokenInvariantError as error:
-            # Raised on, it would end with the task of one message, and the process
-            # would go on with a state that can't be trusted.
+            # Raising alone would end only the task of this message, and the process
+            # would continue with an inconsistent state.
             if self._runtime is not None:
                 await self._runtime.async_fail(error)
             raise
         except Exception as error:
-            # One bad message must not end the service of all others.
+            # One failing message must not stop the handling of others.
             self._metrics.count(const.METRIC_HANDLER_ERROR)
-            logging.exception("handler of %s failed", type(message).__name__)
+            logging.exception("handler for %s failed", type(message).__name__)
             return messages.Fault(code=const.FAULT_INTERNAL, text=repr(error))
 
 
--- a/bitterntiller/components/links/diagnostics.py
+++ b/bitterntiller/components/links/diagnostics.py
@@ -1,4 +1,4 @@
-"""The links' share of the dump."""
+"""The links' section of the state dump."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -7,7 +7,7 @@
 
 
 def describe(coordinator: LinkCoordinator) -> Mapping[str, Any]:
-    """Return the peers with an open connection; the key is left out."""
+    """Return the peers with an open connection, without the key."""
     return {
         "address": coordinator.own.address,
         "connected": coordinator.connected(),
--- a/bitterntiller/components/links/errors.py
+++ b/bitterntiller/components/links/errors.py
@@ -4,7 +4,7 @@
 
 
 class LinkError(CodedError):
-    """Raised when a peer can't be reached or did not answer."""
+    """Raised when a peer can't be reached or did not reply."""
 
     code = "link-failed"
 
@@ -16,13 +16,13 @@
 
 
 class LinkTimeoutError(LinkError):
-    """Raised when no reply came in time; the peer may have got the message."""
+    """Raised when no reply came in time; the peer may have received the message."""
 
     code = "link-timeout"
 
 
 class LinkFaultError(LinkError):
-    """Raised when the peer answered with a fault."""
+    """Raised when the peer replied with a fault."""
 
     code = "link-fault"
 
@@ -32,6 +32,6 @@
 
 
 class HandshakeError(LinkError):
-    """Raised when a peer does not prove that it has the internal key."""
+    """Raised when a peer fails to prove that it holds the internal key."""
 
     code = "link-handshake"
--- a/bitterntiller/components/links/frames.py
+++ b/bitterntiller/components/links/frames.py
@@ -1,4 +1,4 @@
-"""Length-prefixed frames: from messages to bytes and back."""
+"""Encoding and decoding of length-prefixed frames."""
 
 from typing import Any
 
@@ -23,7 +23,7 @@
 
 
 def pack(message: Any, call: int = 0, reply: bool = False) -> bytes:
-    """Return the bytes of a frame, length included."""
+    """Return the bytes of a frame, with its length prefix."""
     frame = messages.Frame(
         kind=KIND_BY_TYPE[type(message)],
         call=call,
@@ -35,9 +35,9 @@
 
 
 def unpack(data: bytes) -> Incoming:
-    """Return the message in a frame's bytes, length left out.
+    """Return the message in a frame without its length prefix.
 
-    Raise MalformedMessageError when they are no frame of a known kind.
+    Raise MalformedMessageError if the bytes are not a frame of a known kind.
     """
     frame = decode(messages.Frame, data)
     cls = TYPE_BY_KIND.get(frame.kind)
@@ -47,10 +47,10 @@
 
 
 def unpack_stranger(data: bytes) -> Incoming:
-    """Return the message in a frame of a peer that has not proved its key.
+    """Return the message in a frame from an unauthenticated peer.
 
-    Such a message has only numbers and strings; raise MalformedMessageError for
-    any other.
+    Only handshake messages are accepted, which contain only numbers and strings. Raise
+    MalformedMessageError for any other.
     """
     check_flat(data)
     frame = decode(messages.Frame, data)
@@ -62,17 +62,17 @@
 
 
 class FrameBuffer:
-    """Cuts a stream of bytes into frames."""
+    """Splits a byte stream into frames."""
 
     def __init__(self) -> None:
         self._data = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take bytes and return the frames they complete, lengths left out.
+        """Add bytes and return the completed frames without their length prefixes.
 
-        Raise MalformedMessageError for a length over MAX_FRAME_BYTES, before
-        its bytes are waited for: a stranger's bytes read as a length would
-        otherwise make the process hold gigabytes.
+        Raise MalformedMessageError for a length over MAX_FRAME_BYTES before waiting for
+        its bytes: arbitrary bytes read as a length could otherwise make the process
+        buffer gigabytes.
         """
         self._data += data
         frames = []
--- a/bitterntiller/components/links/handshake.py
+++ b/bitterntiller/components/links/handshake.py
@@ -1,7 +1,7 @@
-"""The proof that a connecting host holds the internal key.
+"""Handshake in which a connecting host proves that it holds the internal key.
 
-The accepting side sends a nonce; the connecting side answers with the HMAC of
-the nonce and its own name. The key itself never travels.
+The accepting side sends a nonce; the connecting side replies with the HMAC of the nonce
+and its own name, incarnation and address. The key itself is never sent.
 """
 
 import hmac
@@ -23,16 +23,16 @@
 
 
 def proof(key: bytes, nonce: bytes, peer: Peer) -> bytes:
-    """Return the HMAC-SHA256 that proves the key for a host's name and address."""
+    """Return the HMAC-SHA256 that proves possession of the key for a peer."""
     text = f"{peer.host}\n{peer.incarnation}\n{peer.address}".encode()
     return hmac.digest(key, nonce + text, "sha256")
 
 
 async def _async_read_message(sock: curio.io.Socket, cls: type) -> Any:
-    """Return the one next message, which must be of the given type.
+    """Return the next message, which must be of the given type.
 
-    Not a byte beyond it is read: the accepting side may send its first messages
-    right behind its reply, and what was read of them here would be lost.
+    Read no byte beyond it. The accepting side may send its first messages directly
+    after its reply, and bytes of them that were read here would be lost.
     """
     length = int.from_bytes(await _async_read_exactly(sock, LENGTH_BYTES), "big")
     if length > MAX_HANDSHAKE_BYTES:
@@ -56,7 +56,7 @@
 
 
 async def async_accept(sock: curio.io.Socket, key: bytes, own: Peer) -> Peer:
-    """Check a connecting host and return who it is; raise HandshakeError."""
+    """Authenticate a connecting host and return it; raise HandshakeError."""
     try:
         async with curio.timeout_after(HANDSHAKE_TIMEOUT):
             nonce = secrets.token_bytes(NONCE_BYTES)
@@ -75,7 +75,7 @@
 async def async_connect(
     sock: curio.io.Socket, key: bytes, own: Peer, address: str
 ) -> Peer:
-    """Prove the key to an accepting host and return who it is."""
+    """Prove the key to an accepting host and return it; raise HandshakeError."""
     try:
         async with curio.timeout_after(HANDSHAKE_TIMEOUT):
             challenge = await _async_read_message(sock, messages.Challenge)
--- a/bitterntiller/components/links/models.py
+++ b/bitterntiller/components/links/models.py
@@ -4,7 +4,7 @@
 
 
 class Peer(NamedTuple):
-    """Who is at the other end, as proved by the handshake."""
+    """The other end of a connection, as proved by the handshake."""
 
     host: str
     incarnation: str
@@ -12,7 +12,7 @@
 
 
 class Incoming(NamedTuple):
-    """A decoded frame; call is 0 when no reply is awaited."""
+    """A decoded frame; call is 0 if no reply is expected."""
 
     call: int
     reply: bool
--- a/bitterntiller/core/__init__.py
+++ b/bitterntiller/core/__init__.py
@@ -1,1 +1,1 @@
-"""The small core that wires the parts of a process together."""
+"""Types and helpers that all components share."""
--- a/bitterntiller/core/acknowledged.py
+++ b/bitterntiller/core/acknowledged.py
@@ -1,8 +1,10 @@
-"""Up to which number each of several receivers has acknowledged a series."""
+"""The last acknowledged number of a numbered series, for each receiver."""
 
 MAX_RECEIVERS = 16
-"""Receivers that are remembered; one that was forgotten is sent the whole series again.
-Owners of pools and counting hosts are few, and a new one comes with each restart."""
+"""Receivers that are stored; one that was dropped is sent the whole series again.
+
+Pool owners and counting hosts are few, but each restart adds a receiver.
+"""
 
 
 class AcknowledgedPositions:
@@ -12,11 +14,11 @@
         self._position_by_receiver: dict[str, int] = {}
 
     def position(self, receiver: str) -> int:
-        """Return the number up to which a receiver has acknowledged, 0 for none."""
+        """Return the last number that a receiver acknowledged, 0 for none."""
         return self._position_by_receiver.get(receiver, 0)
 
     def record(self, receiver: str, upto: int) -> None:
-        """Note that a receiver has acknowledged all up to a number."""
+        """Record that a receiver acknowledged all items up to a number."""
         self._position_by_receiver[receiver] = upto
         while len(self._position_by_receiver) > MAX_RECEIVERS:
             oldest = next(iter(self._position_by_receiver))
--- a/bitterntiller/core/clock.py
+++ b/bitterntiller/core/clock.py
@@ -1,48 +1,48 @@
-"""The one place where product code reads the time."""
+"""Clocks; product code reads the time only through them."""
 
 import time
 from typing import Protocol
 
 MAX_CLOCK_DRIFT = 0.01
-"""The part by which the rates of two hosts' clocks may differ at most.
+"""Largest difference between the clock rates of two hosts, as a fraction.
 
-Quartz clocks differ by less than 0.0002, and clock discipline by up to 0.0005.
+Quartz clocks differ by less than 0.0002, and clock discipline adds up to 0.0005.
 """
 
 
 class Clock(Protocol):
-    """Tells the time in seconds from an unstated beginning, never going back."""
+    """A monotonic clock, in seconds from an unspecified start."""
 
     def now(self) -> float:
-        """Return the present time in seconds."""
+        """Return the current time in seconds."""
         ...
 
 
 class RuntimeClock:
-    """The clock of the machine, which goes on while the process or host sleeps.
+    """The boot-time clock of the machine, which includes time spent suspended.
 
-    A lease must also have run out when a suspended virtual machine wakes up.
-    The monotonic clock stands still while the machine is suspended, so a lease
-    measured by it would seem fresh after hours; the boot-time clock does not.
+    A lease must have expired when a suspended virtual machine resumes. The monotonic
+    clock stops during suspension, so a lease measured by it would still appear valid
+    after hours.
     """
 
     def now(self) -> float:
-        """Return the seconds since the machine was started, sleep included."""
+        """Return the seconds since boot, including time suspended."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class ManualClock:
-    """A clock that moves only when it is told to; for tests and experiments."""
+    """A clock that advances only on request, for tests and experiments."""
 
     def __init__(self, start: float = 1000.0) -> None:
         self._now = start
 
     def now(self) -> float:
-        """Return the present time in seconds."""
+        """Return the current time in seconds."""
         return self._now
 
     def advance(self, seconds: float) -> None:
-        """Move the time forward by some seconds."""
+        """Advance the time by some seconds."""
         if seconds < 0:
-            raise ValueError("a clock does not go back")
+            raise ValueError("the clock can't be moved back")
         self._now += seconds
--- a/bitterntiller/core/decaying.py
+++ b/bitterntiller/core/decaying.py
@@ -1,11 +1,13 @@
-"""Decaying sums, and maxima over a sliding window."""
+"""Exponentially decaying sums, and maxima over a sliding window."""
 
 import math
 from collections import deque
 
 RETRY_DECAY_SECONDS = 2.0
-"""Time constant with which refused work decays: callers retry once, and few of them
-later than that."""
+"""Time constant with which refused work decays.
+
+Callers retry once, and few of them later than this.
+"""
 
 
 class DecayingSum:
@@ -19,18 +21,18 @@
         self._at = 0.0
 
     def add(self, amount: float, now: float) -> float:
-        """Add an amount; return the sum, in which older ones count less."""
+        """Add an amount and return the decayed sum."""
         self._sum = self.sum(now) + amount
         self._at = now
         return self._sum
 
     def sum(self, now: float) -> float:
-        """Return the sum, of which a third is left after each span of seconds."""
+        """Return the decayed sum; each time constant leaves about a third of it."""
         return self._sum * math.exp((self._at - now) / self._seconds)
 
 
 class WindowedMaximum:
-    """The largest amount within the last span of seconds."""
+    """The largest amount within a sliding window, in seconds."""
 
     __slots__ = ("_amounts", "_seconds")
 
@@ -39,10 +41,10 @@
         self._amounts: deque[tuple[float, float]] = deque()
 
     def add(self, amount: float, now: float) -> float:
-        """Add an amount; return the largest of the span that ends now.
+        """Add an amount and return the maximum of the window that ends now.
 
-        Only amounts with no larger one after them are kept: none other can become the
-        largest again.
+        An amount that is followed by a larger one is dropped, since it can never
+        become the maximum again.
         """
         amounts = self._amounts
         while amounts and amounts[-1][1] <= amount:
@@ -51,7 +53,7 @@
         return self.maximum(now)
 
     def maximum(self, now: float) -> float:
-        """Return the largest amount of the span that ends now, 0 without any."""
+        """Return the maximum of the window that ends now, 0 if it is empty."""
         amounts = self._amounts
         while amounts and amounts[0][0] < now - self._seconds:
             amounts.popleft()
--- a/bitterntiller/core/document.py
+++ b/bitterntiller/core/document.py
@@ -1,4 +1,4 @@
-"""JSON documents with comments, read so that each value's line can be found."""
+"""JSON documents with comments that can report the line of each key."""
 
 import json
 import math
@@ -22,7 +22,7 @@
 
 
 class Document:
-    """The value of a document, and the line of each key by its path."""
+    """The value of a document and, by path, the line of each key."""
 
     def __init__(self, file: str, text: str, value: Any) -> None:
         self.file = file
@@ -31,13 +31,13 @@
 
     @cached_property
     def lines_by_path(self) -> dict[KeyPath, int]:
-        """The lines, from 1, of all keys."""
+        """The lines of all keys, counted from 1."""
         from bitterntiller.core.positions import find_positions
 
         return find_positions(self._text, self.file).lines_by_path
 
     def line(self, path: KeyPath) -> int:
-        """Return the line of a key, or of the nearest key around it."""
+        """Return the line of a key, or of its nearest enclosing key."""
         while path and path not in self.lines_by_path:
             path = path[:-1]
         return self.lines_by_path.get(path, 1)
@@ -49,7 +49,7 @@
 
 
 def read_document(path: Path) -> Document:
-    """Read a file of JSON with comments; raise DocumentError."""
+    """Read a JSON file with comments; raise DocumentError."""
     try:
         text = path.read_bytes().decode()
     except UnicodeDecodeError as error:
@@ -63,7 +63,7 @@
 
 
 def parse_document(text: str, file: str) -> Document:
-    """Parse JSON with comments; raise DocumentError that names file and line."""
+    """Parse JSON with comments; raise DocumentError with file and line."""
     try:
         return Document(file, text, _parse(text))
     except (ValueError, RecursionError):
@@ -71,7 +71,7 @@
 
 
 def _parse(text: str) -> Any:
-    """Return the value of a good text; raise ValueError for a bad one."""
+    """Return the parsed value; raise ValueError for an invalid text."""
     bare = _STRING_OR_COMMENT.sub(lambda found: found[1] or " ", text)
     value = json.loads(
         bare,
@@ -79,7 +79,7 @@
         parse_float=_parse_finite,
         parse_constant=_reject_constant,
     )
-    # Half of a surrogate pair passes the parser, but no message could carry it.
+    # The parser accepts an unpaired surrogate, which UTF-8 messages can't encode.
     json.dumps(value, ensure_ascii=False).encode()
     return value
 
--- a/bitterntiller/core/errors.py
+++ b/bitterntiller/core/errors.py
@@ -1,8 +1,8 @@
-"""Errors with codes, for operators and scripts."""
+"""Errors with stable codes, for operators and scripts."""
 
 
 class CodedError(Exception):
-    """An error with a stable code that scripts can compare."""
+    """An error with a stable code that scripts can match."""
 
     code = "error"
 
@@ -15,6 +15,6 @@
 
 
 class BrokenInvariantError(CodedError):
-    """Raised when the process can't go on without risking a promise."""
+    """Raised when the process can't continue without risking a guarantee."""
 
     code = "broken-invariant"
--- a/bitterntiller/core/events.py
+++ b/bitterntiller/core/events.py
@@ -1,17 +1,17 @@
-"""Decisions and changes of belief, told as structured lines of the log.
+"""Events for structured logging: decisions and state changes.
 
-The product only emits events; where a deployment wants them, whoever wires the process
-sets a writer. Without one they are dropped, so that emitting costs next to nothing.
+The product only emits events. A deployment that wants them sets a writer when it sets
+up the process; without one, events are dropped at almost no cost.
 """
 
 from typing import Any, Protocol
 
 
 class EventWriter(Protocol):
-    """Takes events and writes them without ever blocking."""
+    """Writes events without blocking."""
 
     def write(self, kind: str, fields: dict[str, Any]) -> None:
-        """Take one event; may drop it when there are too many."""
+        """Write one event; it may be dropped if there are too many."""
         ...
 
 
@@ -19,12 +19,12 @@
 
 
 def set_writer(writer: EventWriter | None) -> None:
-    """Have events written by this writer, or dropped."""
+    """Set the writer of all events; None drops them."""
     global _writer
     _writer = writer
 
 
 def emit(kind: str, **fields: Any) -> None:
-    """Tell an event; kind names the decision, fields what decided it."""
+    """Emit an event; kind names the decision, fields give its inputs."""
     if _writer is not None:
         _writer.write(kind, fields)
--- a/bitterntiller/core/interfaces.py
+++ b/bitterntiller/core/interfaces.py
@@ -1,41 +1,41 @@
-"""The types at which the parts of a process meet."""
+"""Interfaces between the components of a process."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from typing import Any, NamedTuple, Protocol
 
 MessageHandler = Callable[[str, Any], Awaitable[Any]]
-"""Takes the name of the sending host and a message; may return the reply."""
+"""Receives the name of the sending host and a message; may return a reply."""
 
 
 class Links(Protocol):
-    """Messages to other hosts, and to this one without a socket."""
+    """Messages to other hosts, and to this host without a socket."""
 
     def handle(self, cls: type, handler: MessageHandler) -> Callable[[], None]:
-        """Have a handler called for each message of a type; return the removal."""
+        """Register the handler of a message type; return a function to remove it."""
         ...
 
     def add_disconnect_listener(self, listener: Callable[[], Awaitable[None]]) -> None:
-        """Have a callback awaited when a connection to a peer has ended."""
+        """Register a callback that is awaited when a connection to a peer ends."""
         ...
 
     async def async_send(self, address: str, message: Any) -> bool:
-        """Send without a reply; False when it certainly did not leave."""
+        """Send without a reply; return False if it was certainly not sent."""
         ...
 
     async def async_call(self, address: str, message: Any, timeout: float) -> Any:
         """Send and return the reply.
 
-        Raise LinkError when the peer can't be reached or does not answer in
-        timeout seconds; whether it got the message is then not known.
+        Raise LinkError if the peer can't be reached or does not reply within timeout
+        seconds; it may have received the message then.
         """
         ...
 
 
 class Ownership(NamedTuple):
-    """Who owns a pool: the host's name and internal address, and the epoch.
+    """The owner of a pool: host name, internal address and ownership epoch.
 
-    incarnation is known where owners follow from membership; it tells an owner from
-    the process that had its host before.
+    incarnation is set where owners are computed from membership; it distinguishes the
+    owner from an earlier process on the same host.
     """
 
     host: str
@@ -45,15 +45,15 @@
 
 
 class Lease(Protocol):
-    """The configuration lease of this node, asked at the moment of use."""
+    """The configuration lease of this node, checked at the time of use."""
 
     def valid(self) -> bool:
-        """Tell whether the node may take and send work now."""
+        """Return whether the node may accept and send work now."""
         ...
 
 
 class ConfigView(Protocol):
-    """The newest configuration in force on this node."""
+    """The configuration in force on this node."""
 
     @property
     def version(self) -> int:
@@ -67,7 +67,7 @@
 
 
 class UpstreamsView(Protocol):
-    """The upstreams that are registered with control, as last heard."""
+    """The upstreams registered with control, as last received."""
 
     @property
     def version(self) -> int:
@@ -76,12 +76,12 @@
 
     @property
     def by_name(self) -> "Mapping[str, Any]":
-        """The announcements, messages.Announce by the name of the upstream."""
+        """The announcements, messages.Announce by upstream name."""
         ...
 
 
 class VersionsView(Protocol):
-    """Which versions of upstreams may get requests, as last heard from control."""
+    """Which upstream versions may get requests, as last received from control."""
 
     @property
     def version(self) -> int:
@@ -93,12 +93,12 @@
         ...
 
     def may_run(self, service: str, labels: Mapping[str, str]) -> bool:
-        """Tell whether an upstream with these labels may get requests of a service."""
+        """Return whether upstreams with these labels may get requests of a service."""
         ...
 
 
 class SentRequest(NamedTuple):
-    """A request that was sent to one process of an upstream, at IP:port.
+    """A request that was sent to a process of an upstream; address is IP:port.
 
     fingerprint is the same for each copy of the request.
     """
@@ -111,10 +111,10 @@
 
 
 class CrashView(Protocol):
-    """Knows the requests under which upstreams have ended; times in seconds."""
+    """The requests during which upstreams crashed; times in seconds."""
 
     def count(self, fingerprint: int, now: float) -> int:
-        """Return how many upstreams have ended under a request."""
+        """Return how many upstreams crashed while running a request."""
         ...
 
     def quarantined_for(self, fingerprint: int, now: float) -> float:
@@ -123,51 +123,51 @@
 
 
 class CrashWatch(CrashView, Protocol):
-    """Is told how sent requests end, and finds out which of them crash upstreams."""
+    """Receives the ends of sent requests and detects which ones crash upstreams."""
 
     def fingerprint(self, workspace: str, method: str, target: str, body: bytes) -> int:
-        """Return the number that names a request over all its copies."""
+        """Return a number that identifies a request and all its copies."""
         ...
 
     async def async_check_crash(self, sent: SentRequest, retrying: bool) -> None:
-        """Find out whether an upstream has ended under a request.
+        """Check whether an upstream crashed while it ran a request.
 
-        retrying tells that it is to be sent once more; returns when that is safe.
+        With retrying, the request is to be sent again; return once that is safe.
         """
         ...
 
     async def async_record_success(self, fingerprint: int) -> None:
-        """Take note of a whole answer to a request."""
+        """Record a complete response to a request."""
         ...
 
 
 class CrashRegister(Protocol):
-    """Shows the requests that have crashed upstreams to operators, and clears them."""
+    """The requests that crashed upstreams, for operators to list and clear."""
 
     def describe(self) -> Mapping[str, Any]:
         """Return the crashes of each request by its fingerprint."""
         ...
 
     def has_crashes(self, fingerprint: int) -> bool:
-        """Tell whether a request has crashes that count."""
+        """Return whether a request has crashes that count."""
         ...
 
     async def async_clear(self, fingerprint: int) -> None:
-        """Forget the crashes of a request, on all hosts."""
+        """Clear the crashes of a request on all hosts."""
         ...
 
 
 class HostView(Protocol):
-    """A host of the directory; address is its internal one, IP:port."""
+    """A host of the directory."""
 
     @property
     def address(self) -> str:
-        """The address of its internal port."""
+        """The internal address, IP:port."""
         ...
 
     @property
     def incarnation(self) -> str:
-        """New at every start of its process."""
+        """Identifies one run of its process; new at each start."""
         ...
 
     @property
@@ -177,7 +177,7 @@
 
 
 class DirectoryView(Protocol):
-    """The hosts and the owners of pools, as last heard from control."""
+    """The hosts and the pool owners, as last received from control."""
 
     @property
     def hosts_by_name(self) -> Mapping[str, HostView]:
@@ -185,44 +185,44 @@
         ...
 
     def owner(self, pool: str) -> Ownership | None:
-        """Return the owner of a pool, None when nobody has it."""
+        """Return the owner of a pool, None if it has none."""
         ...
 
 
 class ControlCalls(Protocol):
-    """Calls to the leader of control, wherever it is."""
+    """Calls to the leader of control, whichever host that is."""
 
     async def async_call_leader(self, message: Any, timeout: float) -> Any:
-        """Return the leader's reply, None without one in timeout seconds.
+        """Return the leader's reply, None if there is none within timeout seconds.
 
-        Without a reply, or with one of status unknown, it is open whether the
-        message was carried out.
+        Without a reply, or with status unknown, the message may or may not have been
+        executed.
         """
         ...
 
 
 class StateMachine(Protocol):
-    """What a replicated log drives; deterministic, free of I/O and clocks."""
+    """A deterministic state machine without I/O or clocks, for a replicated log."""
 
     def apply(self, index: int, command: bytes) -> bytes:
         """Apply a committed command and return its result."""
         ...
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the complete state."""
         ...
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by one that snapshot() returned."""
+        """Replace the state with one that snapshot() returned."""
         ...
 
 
 class ProposalResult(NamedTuple):
-    """How a proposal ended.
+    """The outcome of a proposal.
 
-    status is committed (result is what apply returned), not-leader (certainly
-    not in the log of this leader), or unknown (leadership was lost or time ran
-    out after the command had been appended).
+    status is committed (result is what apply() returned), not-leader (certainly not
+    appended by this replica) or unknown (leadership was lost or the timeout expired
+    after the command was appended).
     """
 
     status: str
@@ -240,25 +240,25 @@
     async def async_confirm(self, timeout: float) -> int | None:
         """Confirm leadership with a quorum.
 
-        Return the commit index as it was when the confirmation began, once it
-        is applied; None when this replica is not a leader confirmed in time.
+        Return the commit index from the start of the confirmation once it is applied,
+        or None if this replica was not confirmed as leader in time.
         """
         ...
 
     async def async_transfer_leadership(self, timeout: float) -> bool:
-        """Have another replica lead before this one stops; False if none does."""
+        """Transfer leadership before this replica stops; False if it fails."""
         ...
 
     def is_leader(self) -> bool:
-        """Tell whether this replica leads, as far as it knows."""
+        """Return whether this replica believes itself to be the leader."""
         ...
 
     def leader(self) -> str:
-        """Return the internal address of the leader, empty when not known."""
+        """Return the internal address of the leader, empty if unknown."""
         ...
 
     async def async_wait_for_leader(self, timeout: float) -> None:
-        """Return once a leader is known here, or after timeout seconds."""
+        """Wait until this replica knows a leader, at most timeout seconds."""
         ...
 
     def status(self) -> Mapping[str, Any]:
@@ -267,14 +267,14 @@
 
 
 class Metrics(Protocol):
-    """Counters and timers, sent on by statsd and kept for the dump."""
+    """Counters, timers and gauges, kept for the state dump and sent to statsd."""
 
     def count(self, name: str, by: int = 1) -> None:
         """Add to a counter."""
         ...
 
     def timing(self, name: str, seconds: float) -> None:
-        """Note a duration in seconds."""
+        """Record a duration in seconds."""
         ...
 
     def gauge(self, name: str, value: float) -> None:
@@ -283,4 +283,4 @@
 
 
 Diagnostics = Callable[[], Mapping[str, Any]]
-"""A component's share of the dump of a process's state, secrets left out."""
+"""Returns a component's section of the state dump, without secrets."""
--- a/bitterntiller/core/listener.py
+++ b/bitterntiller/core/listener.py
@@ -1,4 +1,4 @@
-"""Accepting TCP connections for as long as the process serves."""
+"""A TCP listener that serves each connection in a task."""
 
 from collections.abc import Awaitable, Callable
 from contextlib import AsyncExitStack
@@ -18,7 +18,7 @@
 
 
 class Listener:
-    """Listens at one address and serves each connection in a task."""
+    """Listens on one address and serves each connection in a task."""
 
     def __init__(self, ip: str, port: int, handler: ConnectionHandler) -> None:
         self._handler = handler
@@ -29,11 +29,11 @@
 
     @property
     def port(self) -> int:
-        """Return the port, which the system chose where 0 was asked for."""
+        """Return the port, which the system chose if 0 was requested."""
         return self._sock.getsockname()[1]
 
     async def async_serve(self, runtime: Runtime) -> None:
-        """Accept until cancelled; then end all connections."""
+        """Accept connections until cancelled, then close all of them."""
         self._runtime = runtime
         async with AsyncExitStack() as stack:
             stack.push_async_callback(self._async_close_all)
@@ -47,10 +47,11 @@
             self._tasks.add(task)
 
     async def async_close(self) -> None:
-        """Stop accepting; connections that stand go on.
+        """Stop accepting; open connections continue.
 
-        The socket is closed only once nothing waits on it: the kernel of tasks would
-        otherwise end with the process, on a file descriptor that is no more.
+        The accepting task is cancelled before the socket is closed: curio's kernel
+        would fail on a closed file descriptor that a task waits on, and with it the
+        process.
         """
         if self._accepting is not None:
             await self._accepting.cancel()
@@ -60,15 +61,15 @@
     async def _async_accept(self) -> Any:
         """Return the next connection.
 
-        With all file descriptors in use accept() fails; were the error let out,
-        the process would go on without ever accepting again.
+        accept() fails when no file descriptor is free. The error is caught here, since
+        it would otherwise end the accept loop while the process kept running.
         """
         while True:
             try:
                 sock, _address = await self._sock.accept()
             except OSError as error:
                 logging.log_every_n_seconds(
-                    logging.WARNING, "accepting failed: %r", 10, error
+                    logging.WARNING, "accept failed: %r", 10, error
                 )
                 await curio.sleep(ACCEPT_PAUSE)
                 continue
@@ -82,7 +83,7 @@
         except BrokenInvariantError as error:
             await self._runtime.async_fail(error)
         except Exception:
-            logging.exception("serving a connection failed")
+            logging.exception("connection handler failed")
         finally:
             self._tasks.discard(await curio.current_task())
 
--- a/bitterntiller/core/logs.py
+++ b/bitterntiller/core/logs.py
@@ -1,4 +1,4 @@
-"""Setting up the log: absl.logging to standard error."""
+"""Set-up of logging: absl.logging to standard error."""
 
 import logging as standard_logging
 
@@ -13,16 +13,16 @@
 
 
 def set_up_logs(level: str) -> None:
-    """Log lines of this level and above to standard error.
+    """Log records of this level and above to standard error.
 
-    Standard logging of libraries goes the same way.
+    This includes records of libraries that use the standard logging module.
     """
-    # absl takes its settings from flags, which this process has none of; while
-    # they count as not parsed, absl puts a warning before the first line.
+    # absl reads its settings from flags, which this process does not have. Unless
+    # they are marked as parsed, absl writes a warning before the first line.
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
     logging.set_verbosity(_VERBOSITY_BY_LEVEL[level])
     logging.set_stderrthreshold("debug")
-    # curio warns whenever an operation ends just as its timeout runs out, which
-    # is an everyday race here and no change of state.
+    # curio warns if an operation completes just as its timeout expires, which is a
+    # frequent and harmless race here.
     standard_logging.getLogger("curio").setLevel(standard_logging.ERROR)
--- a/bitterntiller/core/outcomes.py
+++ b/bitterntiller/core/outcomes.py
@@ -1,11 +1,11 @@
-"""How requests end: values with codes, carried to the caller in X-Outcome."""
+"""Outcomes and reasons of requests, as sent to the caller in X-Outcome."""
 
 from enum import StrEnum
 from typing import NamedTuple
 
 
 class Outcome(StrEnum):
-    """What is known about the running of a request."""
+    """What is known about the execution of a request."""
 
     DONE = "done"
     NOT_RUN = "not-run"
@@ -14,7 +14,7 @@
 
 
 class Reason(StrEnum):
-    """Why a request ended as it did; the code in the JSON body of a refusal."""
+    """Why a request ended; the code in the JSON body of a refusal."""
 
     UNAUTHORIZED = "unauthorized"
     NO_SUCH_SERVICE = "no-such-service"
@@ -51,10 +51,10 @@
 
 
 class Ending(NamedTuple):
-    """The end of a request that has no answer of an upstream to relay.
+    """The end of a request without an upstream response to relay.
 
-    status is the HTTP status; retry_after is in seconds, or None where coming
-    back would change nothing.
+    status is the HTTP status; retry_after is in seconds, or None if a retry would not
+    help.
     """
 
     outcome: Outcome
--- a/bitterntiller/core/positions.py
+++ b/bitterntiller/core/positions.py
@@ -1,6 +1,6 @@
-"""Finds the line of each key of a JSON document with comments, or its faults.
+"""Find the line of each key in a JSON document with comments, or its errors.
 
-Apart from core.document, so that a process whose files are good never loads the
+This is separate from core.document so that a process with valid files never loads the
 parser.
 """
 
@@ -42,7 +42,7 @@
 
 
 class Positions(NamedTuple):
-    """What a document's text holds: lines from 1, by the path of the key."""
+    """Value, lines of keys (from 1, by path) and problems of a document."""
 
     value: Any
     lines_by_path: dict[KeyPath, int]
@@ -50,7 +50,7 @@
 
 
 def find_positions(text: str, file: str) -> Positions:
-    """Parse a text; its faults are among the result, not raised."""
+    """Parse a text; its errors are returned in the result, not raised."""
     try:
         tree = _PARSER.parse(text)
     except UnexpectedInput as error:
@@ -82,7 +82,7 @@
 
 
 class _Builder:
-    """Turns the syntax tree into plain values and notes the lines."""
+    """Converts the syntax tree to plain values and records the lines of keys."""
 
     def __init__(self, file: str) -> None:
         self.file = file
@@ -90,7 +90,7 @@
         self.problems: list[LocatedProblem] = []
 
     def build(self, node: Tree | Token, path: KeyPath) -> Any:
-        """Return the value of a node that stands at a path."""
+        """Return the value of the node at a path."""
         line = node.line if isinstance(node, Token) else node.meta.line
         self.lines_by_path.setdefault(path, line)
         if isinstance(node, Token):
--- a/bitterntiller/core/problems.py
+++ b/bitterntiller/core/problems.py
@@ -1,4 +1,4 @@
-"""What is wrong with a document, and where."""
+"""Problems in a document and where they are."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class Problem(NamedTuple):
-    """A fault of a document: the path of the key and what is wrong with it."""
+    """An error in a document: the path of the key and a description."""
 
     path: KeyPath
     text: str
@@ -18,7 +18,7 @@
 
 
 class LocatedProblem(NamedTuple):
-    """A problem with the file and line (from 1) where it stands."""
+    """A problem with its file and line (from 1)."""
 
     file: str
     line: int
@@ -30,7 +30,7 @@
 
 
 class DocumentError(CodedError):
-    """Raised for a file that can't be read as JSON with comments."""
+    """Raised for a file that can't be parsed as JSON with comments."""
 
     code = "document"
 
@@ -40,7 +40,7 @@
 
 
 def join_path(path: KeyPath) -> str:
-    """Return a path as it is shown to people, as in a.b[0]; "." for the whole."""
+    """Return a path in readable form, such as a.b[0]; "." for the root."""
     shown = ""
     for part in path:
         shown += f"[{part}]" if isinstance(part, int) else f".{part}"
--- a/bitterntiller/core/runtime.py
+++ b/bitterntiller/core/runtime.py
@@ -1,4 +1,4 @@
-"""What every part of a process is given at its set-up."""
+"""The context that every component of a process gets at set-up."""
 
 import uuid
 from collections.abc import Coroutine
@@ -14,12 +14,12 @@
 
 
 class Runtime:
-    """The settings, clock, links and metrics of a process, and its tasks.
+    """The settings, clock, links, metrics and tasks of a process.
 
-    links is set by whoever wires the process, since links need its incarnation.
+    links is assigned after construction, because links need the incarnation.
 
-    stack owns whatever must be closed: a part pushes its unloading at set-up,
-    so that parts are unloaded in the reverse order.
+    stack owns everything that must be closed. Components push their clean-up at set-up,
+    so that they are unloaded in reverse order.
     """
 
     links: Links
@@ -35,11 +35,11 @@
         self.failed = curio.Event()
 
     async def async_spawn(self, coroutine: Coroutine[Any, Any, Any]) -> curio.Task:
-        """Start a task of a part; it is cancelled when the process unloads.
+        """Start a component's task, which is cancelled when the process unloads.
 
-        Such a task serves as long as the process does. One that ends by an error
-        would leave a process that looks alive with a part that does nothing, so
-        the error stops the process. Not for tasks of single requests.
+        Such a task runs as long as the process. If it fails, the process stops, since
+        it would otherwise look healthy while the component did nothing. Don't use this
+        for tasks of single requests.
         """
         task = await curio.spawn(self._async_guard(coroutine))
         self.stack.push_async_callback(task.cancel)
@@ -49,14 +49,14 @@
         try:
             await coroutine
         except Exception as error:
-            logging.exception("a part of the process failed")
+            logging.exception("a component task failed")
             await self.async_fail(error)
 
     async def async_fail(self, error: BaseException) -> None:
-        """Tell whoever runs the process that it must stop; failure says why."""
+        """Request a stop of the process because of an error, kept in failure."""
         self.failure = self.failure or error
         await self.failed.set()
 
     def add_diagnostics(self, component: str, diagnostics: Diagnostics) -> None:
-        """Have a component's share included in the dump."""
+        """Register a component's section of the state dump."""
         self.diagnostics_by_component[component] = diagnostics
--- a/bitterntiller/core/schema.py
+++ b/bitterntiller/core/schema.py
@@ -1,4 +1,4 @@
-"""Checks that the schemas of settings and configuration share."""
+"""Validators that the schemas of settings and configuration share."""
 
 import ipaddress
 import re
@@ -13,7 +13,7 @@
 
 
 def name(value: Any) -> str:
-    """Return a name that is safe in metrics, headers and keys, or refuse it."""
+    """Validate a name that is safe in metrics, headers and keys."""
     if not isinstance(value, str) or not NAME.fullmatch(value):
         raise vol.Invalid(
             "expected a name of 1 to 63 letters, digits, '_', '.' or '-', "
@@ -23,7 +23,7 @@
 
 
 def ip_and_port(value: Any) -> tuple[str, int]:
-    """Return the parts of "IP:port", an IPv4 number and a port, or refuse it."""
+    """Validate "IP:port" with an IPv4 address; return address and port."""
     if not isinstance(value, str):
         raise vol.Invalid("expected a string IP:port")
     ip, colon, port = value.rpartition(":")
@@ -39,7 +39,7 @@
 
 
 def integer(minimum: int, maximum: int | None = None) -> Callable[[Any], int]:
-    """Return a check for a whole number within bounds."""
+    """Return a validator for integers within bounds."""
 
     def check(value: Any) -> int:
         if isinstance(value, bool) or not isinstance(value, int):
@@ -54,14 +54,14 @@
 
 
 def number(value: Any) -> float:
-    """Return a number, or refuse it."""
+    """Validate a number."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise vol.Invalid("expected a number")
     return float(value)
 
 
 def positive(value: Any) -> float:
-    """Return a number above 0, or refuse it."""
+    """Validate a number above 0."""
     found = number(value)
     if found <= 0:
         raise vol.Invalid("must be above 0")
@@ -69,7 +69,7 @@
 
 
 def find_problems(schema: vol.Schema, value: Any) -> tuple[Any, list[Problem]]:
-    """Return the value as the schema gives it (None if bad), and all problems."""
+    """Return the validated value (None if invalid) and all problems."""
     try:
         return schema(value), []
     except vol.MultipleInvalid as error:
--- a/bitterntiller/core/signals.py
+++ b/bitterntiller/core/signals.py
@@ -1,4 +1,4 @@
-"""Signals of the operating system as events of the kernel's loop."""
+"""Operating system signals as events of the curio loop."""
 
 import signal
 import socket
@@ -7,10 +7,10 @@
 
 
 class SignalReceiver:
-    """Receives some signals while it is open.
+    """Receives the given signals while it is open.
 
-    The interpreter writes each signal's number to a socket that the loop reads;
-    nothing of the process runs inside a signal handler.
+    The interpreter writes each signal number to a socket that the loop reads, so that
+    no code of the process runs inside a signal handler.
     """
 
     def __init__(self, *numbers: signal.Signals) -> None:
@@ -35,7 +35,7 @@
         self._writing.close()
 
     async def async_get(self) -> int:
-        """Wait for the next of the signals and return its number."""
+        """Wait for the next signal and return its number."""
         while True:
             data = await self._reading.recv(1)
             if data and data[0] in self._numbers:
--- a/bitterntiller/core/tcp.py
+++ b/bitterntiller/core/tcp.py
@@ -1,4 +1,4 @@
-"""Connecting by IP number, without the resolver, and options of TCP sockets."""
+"""TCP connections to IP addresses without the resolver, and TCP keepalive."""
 
 import ipaddress
 from typing import Any
@@ -13,10 +13,10 @@
 async def async_connect(ip: str, port: int, timeout: float) -> Any:
     """Return a connected socket.
 
-    Raise OSError when the connection is refused or not made in timeout seconds,
-    ValueError when ip is no IP number. The library's own connecting asks the
-    resolver in a thread each time, also for numbers: that costs a change of threads
-    for each connection, and at most 64 connections can be begun at once.
+    Raise OSError if the connection is refused or not established within timeout
+    seconds, ValueError if ip is not an IP address. curio.open_connection calls the
+    resolver in a thread even for IP addresses, which costs a thread switch for each
+    connection and limits the connections that are being opened to 64.
     """
     version = ipaddress.ip_address(ip).version
     family = socket.AF_INET if version == 4 else socket.AF_INET6
@@ -29,18 +29,18 @@
         await sock.close()
         raise TimeoutError(f"no connection in {timeout} s") from None
     except BaseException:
-        # Also when cancelled: a caller that leaves must leave no socket behind.
+        # Also when cancelled, so that the socket is not leaked.
         await sock.close()
         raise
     return sock
 
 
 def enable_keepalive(sock: Any, seconds: int) -> None:
-    """Have a connection break when its peer's host is silent for some seconds.
+    """Make the kernel close a connection when its peer is silent for some seconds.
 
-    A host that loses its power or its network sends no reset. The connection would
-    stand open for a quarter of an hour, and after a partition the kernel may wait two
-    minutes before it tries again; what is sent meanwhile seems to leave.
+    A host that loses power or its network sends no reset. Without keepalive and a user
+    timeout the connection would stay open for about 15 minutes, and after a partition
+    the kernel may wait two minutes before it retransmits, while sends still succeed.
     """
     probes = min(max(1, seconds // 2), MAX_KEEPALIVE_PROBES)
     idle = min(max(1, seconds - probes), MAX_KEEPALIVE_IDLE)
--- a/tests/components/links/builders.py
+++ b/tests/components/links/builders.py
@@ -1,4 +1,4 @@
-"""Builders of links that listen on loopback."""
+"""Builders for links that listen on loopback."""
 
 from collections.abc import AsyncIterator
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -15,7 +15,7 @@
 
 
 def free_port() -> int:
-    """Return a port that is free now."""
+    """Return a port that is currently free."""
     sock = curio.tcp_server_socket("127.0.0.1", 0)
     port = sock.getsockname()[1]
     sock._socket.close()
@@ -23,14 +23,14 @@
 
 
 def make_links(host: str, port: int, incarnation: str = "i") -> LinkCoordinator:
-    """Return the links of a host that will listen on a port."""
+    """Return the links of a host, not yet listening on its port."""
     own = Peer(host, incarnation, f"127.0.0.1:{port}")
     listen = Address("127.0.0.1", port)
     return LinkCoordinator(own, listen, KEY, RuntimeClock(), FakeMetrics())
 
 
 class FailureRecorder:
-    """Stands for the runtime, and notes what broke."""
+    """A fake runtime that records failures."""
 
     def __init__(self) -> None:
         self.failures: list[BaseException] = []
@@ -43,7 +43,7 @@
 async def serving(
     host: str, incarnation: str = "i", port: int = 0
 ) -> AsyncIterator[tuple[LinkCoordinator, FailureRecorder]]:
-    """Serve links on loopback; on leaving all connections are ended."""
+    """Serve links on loopback; close all connections on exit."""
     links = make_links(host, port or free_port(), incarnation)
     recorder = FailureRecorder()
     async with AsyncExitStack() as stack:
--- a/tests/components/links/test_coordinator.py
+++ b/tests/components/links/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Tests of the messages between hosts, over loopback."""
+"""Tests of messages between hosts over loopback."""
 
 import os
 from collections.abc import Awaitable, Callable
@@ -56,12 +56,12 @@
     assert got == [("a", str(number)) for number in range(50)]
 
 
-def test_message_right_behind_the_reply_to_the_hello():
-    """A connection between two hosts breaks as soon as it is made, again and again.
+def test_message_directly_after_the_hello_reply():
+    """A message in the same segment as the hello reply must not be lost.
 
-    The accepting host has something to send at once, and its first frame comes
-    in one segment with its reply to the hello. The connecting host takes the
-    two frames for a broken handshake, or loses the part of the second one.
+    The accepting host has a message to send at once. The connecting host took both
+    frames for a failed handshake, or lost the part of the second one that it had read,
+    so that each new connection broke immediately.
     """
 
     async def async_main() -> Any:
@@ -93,7 +93,7 @@
     assert run(async_main) == ("b", "r1")
 
 
-def test_wrong_key_is_turned_away_and_counted():
+def test_wrong_key_is_rejected_and_counted():
     async def async_main() -> tuple[bool, int]:
         async with serving("b") as (b, _):
             a = make_links("a", free_port())
@@ -104,7 +104,7 @@
     assert run(async_main) == (False, 1)
 
 
-def test_failed_handshakes_leave_no_sockets():
+def test_failed_handshakes_leak_no_sockets():
     async def async_main() -> int:
         async with serving("b") as (b, _):
             a = make_links("a", free_port())
@@ -119,12 +119,13 @@
     assert run(async_main) <= 2
 
 
-def test_call_to_a_stopped_peer_ends_in_time():
-    """A host loses its lease though a quorum of control is up.
+def test_call_to_a_suspended_peer_times_out():
+    """The timeout of a call must include the handshake.
 
-    One control host is stopped: its kernel takes connections, and nobody answers
-    the handshake. A call with a timeout of a fifth of a second takes two, and
-    the heartbeat comes to the other control hosts too late.
+    The kernel of a suspended control host accepts connections, but the handshake gets
+    no response. A call with a timeout of 0.2 s took 2 s, so heartbeats reached the
+    other control hosts too late, and a host lost its lease although control had a
+    quorum.
     """
 
     async def async_main() -> float:
@@ -143,11 +144,11 @@
     assert run(async_main) < 1.0
 
 
-def test_peer_that_restarted_gets_new_messages():
-    """A host that lost its power hears nothing of a peer for a quarter of an hour.
+def test_restarted_peer_gets_new_messages():
+    """Messages must use the connection of the new process after a power loss.
 
-    Its old connection sends no reset, so that the peer takes it for open and goes
-    on sending there, though the new process has made a connection of its own.
+    The old connection got no reset, so the peer considered it open and kept sending on
+    it for 15 minutes, although the new process had opened a connection.
     """
     got: list[Any] = []
 
@@ -169,11 +170,11 @@
     assert got == [("a", "r1")]
 
 
-def test_silent_host_is_noticed(monkeypatch):
-    """Grants to a host without power seem to leave for a quarter of an hour.
+def test_connection_to_an_unresponsive_host_breaks(monkeypatch):
+    """The user timeout must close a connection to a host that lost power.
 
-    The connection stands open, since nobody sends a reset. Here the peer reads
-    nothing, and its kernel stops taking bytes: the connection must break.
+    Without it, sends of grants succeed for 15 minutes, since no reset arrives. Here the
+    peer reads nothing until its kernel accepts no more bytes.
     """
     monkeypatch.setattr(const, "KEEPALIVE_TIMEOUT", 1)
 
@@ -204,10 +205,9 @@
 
 
 def test_broken_invariant_in_a_handler_stops_the_process():
-    """A process goes on with a state that it knows to be wrong.
+    """A broken invariant must stop the process, not only the message's task.
 
-    A handler finds a broken invariant; the error ends with the task of the one
-    message, and nobody hears of it.
+    Otherwise the process continues with a state that it has found to be inconsistent.
     """
 
     async def async_break(host: str, message: Any) -> None:
@@ -223,8 +223,8 @@
     assert len(run(async_main)) == 1
 
 
-def test_stranger_on_the_internal_port():
-    """A stranger's bytes on the internal port must not end the links."""
+def test_arbitrary_bytes_on_the_internal_port():
+    """Arbitrary bytes on the internal port must not stop the links."""
 
     async def async_main() -> bool:
         async with serving("a") as (a, _), serving("b") as (b, _):
@@ -237,11 +237,11 @@
     assert run(async_main)
 
 
-def test_connection_with_messages_one_way_is_kept():
-    """Hosts lose each other once a second while all is well.
+def test_one_way_connection_stays_open():
+    """The liveness check must not close a connection with traffic in one direction.
 
-    One of them only tells and the other only listens, so that there is always something
-    sent to which nothing has come yet.
+    One host only sends and the other only receives, so there is always sent data that
+    got no response yet. Healthy hosts lost their connections once a second.
     """
 
     async def async_main() -> bool:
@@ -258,11 +258,11 @@
     assert run(async_main)
 
 
-def test_connection_that_went_silent_is_given_up():
-    """An entry host waits for grants beside an owner that is well.
+def test_silent_connection_is_closed():
+    """A connection that loses all bytes in one direction must be replaced.
 
-    One direction of their connection lost all bytes for good, without a reset; a new
-    connection would have worked at once.
+    It got no reset, so an entry host kept waiting for grants of a healthy owner,
+    although a new connection would have worked at once.
     """
 
     async def async_main() -> int:
@@ -287,11 +287,12 @@
     assert run(async_main) == 2
 
 
-def test_a_peer_that_dials_first_is_answered_while_a_dial_hangs(monkeypatch):
-    """After a loss of power control has no leader for a second longer than it must.
+def test_connection_from_a_peer_is_used_while_the_own_attempt_hangs(monkeypatch):
+    """Messages must use a connection that the peer opened during a hanging attempt.
 
-    A host dials another one just before that one is back, and the dial hangs until the
-    kernel tries again. The other one dials back at once, but what is for it waits.
+    A host connects to another just before that one is up again, and the attempt hangs
+    until the kernel retries. The other host connected at once, but messages to it kept
+    waiting, so control had no leader for one second more after a power loss.
     """
     got: list[Any] = []
     dialled = curio.Event()
@@ -299,7 +300,7 @@
     async def async_hang(ip: str, port: int, timeout: float) -> Any:
         await dialled.set()
         await curio.sleep(5.0)
-        raise OSError("nobody answered")
+        raise OSError("no response")
 
     async def async_main() -> None:
         async with serving("a") as (a, _), serving("b") as (b, _):
--- a/tests/components/links/test_frames.py
+++ b/tests/components/links/test_frames.py
@@ -1,4 +1,4 @@
-"""Tests of frames with any bytes and any cuts."""
+"""Tests of frames with arbitrary bytes and arbitrary splits."""
 
 import pytest
 from hypothesis import given
@@ -42,12 +42,12 @@
 
 
 @pytest.mark.parametrize("length", [b"\x80\0\0\0", b"\x7f\xff\xff\xff"])
-def test_length_in_a_strangers_frame(length):
-    """A process is killed for its memory after a few bytes on its internal port.
+def test_string_length_in_an_unauthenticated_frame(length):
+    """A string length in an unauthenticated frame must not allocate memory.
 
-    A stranger's frame has a string whose length says two gigabytes. The codec
-    makes room for it before it finds that the bytes are not there. For a negative
-    length it raises an error that ends the serving with a stack trace.
+    The codec allocates a string of 2 GB before it finds that its bytes are missing, so
+    a few bytes on the internal port can get the process killed. For a negative length
+    it raises an error that ends the connection with a stack trace.
     """
     with pytest.raises(MalformedMessageError, match="a string of"):
         unpack_stranger(b"\x0b\0\x04" + length)
@@ -67,7 +67,7 @@
     assert [unpack(frame).message for frame in frames] == sent
 
 
-def test_length_over_the_bound_is_refused_before_its_bytes():
+def test_length_over_the_bound_is_rejected_before_its_bytes_arrive():
     length = (MAX_FRAME_BYTES + 1).to_bytes(4, "big")
     with pytest.raises(MalformedMessageError):
         FrameBuffer().feed(length)
--- a/tests/core/test_document.py
+++ b/tests/core/test_document.py
@@ -30,7 +30,7 @@
 
 
 def both_accept(text):
-    """Tell whether the reader and the finder of lines agree, and on what."""
+    """Assert that document and positions agree; return whether both accept."""
     positions = find_positions(text, "x")
     try:
         value = parse_document(text, "x").value
@@ -60,11 +60,11 @@
 @pytest.mark.parametrize(
     "text", ['{"a":1,"a":2}', "9" * 5000, "[1, -1e400]", '["\\ud800"]']
 )
-def test_value_that_passes_a_plain_decoder_is_refused(text):
+def test_value_that_a_plain_decoder_accepts_is_rejected(text):
     assert not both_accept(text)
 
 
-def test_good_file_is_read_without_the_parser():
+def test_valid_file_is_read_without_loading_the_parser():
     program = (
         "import sys\n"
         "from bitterntiller.core.document import parse_document\n"
--- a/tests/core/test_listener.py
+++ b/tests/core/test_listener.py
@@ -1,4 +1,4 @@
-"""The listener of a process that stops."""
+"""Tests of closing the listener."""
 
 from typing import Any
 
@@ -12,11 +12,11 @@
         raise error
 
 
-def test_listener_closed_while_it_accepts_leaves_connections_alone():
-    """A stopping host cuts all its answers at the moment when it takes no new callers.
+def test_closing_during_accept_keeps_open_connections():
+    """Closing the listener must not cut responses that are in progress.
 
-    The listening socket was closed while a task waited on it, which ended the kernel of
-    tasks and with it the process, in the middle of the answers.
+    The listening socket was closed while a task waited on it, which ended curio's
+    kernel and the process in the middle of its responses.
     """
 
     async def async_echo(sock: Any) -> None:
--- a/tests/core/test_logs.py
+++ b/tests/core/test_logs.py
@@ -10,7 +10,7 @@
 """
 
 
-def test_only_lines_of_the_level_go_to_stderr_without_absl_warnings():
+def test_only_records_of_the_level_reach_stderr_without_absl_warnings():
     run = subprocess.run(
         [sys.executable, "-c", PROGRAM], capture_output=True, text=True, check=True
     )
