--- a/bench/arrivals.py
+++ b/bench/arrivals.py
@@ -5,7 +5,13 @@
 import numpy as np
 
 from bench.deployments import POOLS_BY_NAME
-from bench.models import FIRST_PREFIX_TOKENS, Ask, PoolSpec, UpstreamProfile, WorkKind
+from bench.models import (
+    FIRST_PREFIX_TOKENS,
+    OfferedRequest,
+    PoolSpec,
+    UpstreamProfile,
+    WorkKind,
+)
 
 DOCUMENTS_PER_WORKSPACE = 10
 ZIPF_EXPONENT = 1.1
@@ -62,9 +68,9 @@
     return np.sort(period * BURST_PERIOD + np.where(in_burst, inside, outside))
 
 
-def make_asks(
+def make_requests(
     pool: PoolSpec, rate: float, duration: float, bursty: bool, seed: int
-) -> list[Ask]:
+) -> list[OfferedRequest]:
     """Return the requests of a run, in order of arrival."""
     rng = np.random.default_rng(seed)
     times = arrival_times(rate, duration, bursty, rng)
@@ -83,7 +89,7 @@
     fractions = rng.uniform(0.5, 1.0, count)
     hosts = rng.integers(0, pool.hosts, count)
     plain = pool.upstreams[0].plain
-    asks = []
+    requests = []
     for number in range(count):
         kind = pool.kinds[kinds[number]]
         tier = pool.tiers[tiers[number]]
@@ -94,7 +100,7 @@
         output = max(1, int(limit * fractions[number]))
         document = int(workspaces[number]) << 16 | int(kinds[number]) << 8
         document |= int(documents[number])
-        ask = Ask(
+        request = OfferedRequest(
             number=number,
             at=float(times[number]),
             workspace=names[workspaces[number]],
@@ -113,8 +119,8 @@
             else make_hashes(prompt, shared, document, number),
             host=int(hosts[number]),
         )
-        asks.append(ask)
-    return asks
+        requests.append(request)
+    return requests
 
 
 def _document_tokens(kind: WorkKind, document: int) -> int:
@@ -130,22 +136,26 @@
     return weights / weights.sum()
 
 
-def usable_batch(profile: UpstreamProfile, asks: list[Ask]) -> float:
+def usable_batch(profile: UpstreamProfile, requests: list[OfferedRequest]) -> float:
     """Return the sequences that fit a batch: its slots, or what memory allows."""
     if profile.plain:
         return profile.slots
-    held = sum(ask.output * (ask.prompt + ask.output) for ask in asks)
-    mean_held = held / sum(ask.output for ask in asks)
+    held = sum(
+        request.output * (request.prompt + request.output) for request in requests
+    )
+    mean_held = held / sum(request.output for request in requests)
     return min(profile.slots, profile.kv_tokens / mean_held)
 
 
-def engine_seconds(profile: UpstreamProfile, ask: Ask, batch: float) -> float:
+def engine_seconds(
+    profile: UpstreamProfile, request: OfferedRequest, batch: float
+) -> float:
     """Return the seconds of an upstream that a request takes up, batch full.
 
     The shared part of the prompt counts as cached already.
     """
-    prefill = (ask.prompt - ask.shared) / profile.prefill_speed
-    return prefill + ask.output * profile.step(batch) / batch
+    prefill = (request.prompt - request.shared) / profile.prefill_speed
+    return prefill + request.output * profile.step(batch) / batch
 
 
 @lru_cache
@@ -156,10 +166,10 @@
     its prefill and its part of the decode steps on the upstream it runs on.
     """
     pool = POOLS_BY_NAME[pool_name]
-    asks = make_asks(pool, CAPACITY_SAMPLE, 1.0, False, CAPACITY_SEED)
+    requests = make_requests(pool, CAPACITY_SAMPLE, 1.0, False, CAPACITY_SEED)
     rate = 0.0
     for profile in pool.upstreams:
-        batch = usable_batch(profile, asks)
-        seconds = sum(engine_seconds(profile, ask, batch) for ask in asks)
-        rate += len(asks) / seconds
+        batch = usable_batch(profile, requests)
+        seconds = sum(engine_seconds(profile, request, batch) for request in requests)
+        rate += len(requests) / seconds
     return rate
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -24,18 +24,18 @@
         self._states_by_name: dict[str, UpstreamState] = {}
         self._upstream_by_id: dict[str, str] = {}
         self._outstanding_by_name: dict[str, int] = {}
-        self._early: list[WaitingRequest] = []
+        self._waiting: list[WaitingRequest] = []
 
-    def choose(self) -> str:
+    def pick(self) -> str:
         """Return the name of the upstream for the next request."""
         raise NotImplementedError
 
     def register(self, request: WaitingRequest, now: float) -> list[Decision]:
         """Grant at once, or when the first upstream has announced itself."""
         if not self._states_by_name:
-            self._early.append(request)
+            self._waiting.append(request)
             return []
-        name = self.choose()
+        name = self.pick()
         self._count(request.request_id, name)
         state = self._states_by_name[name]
         return [
@@ -90,9 +90,9 @@
         """Keep the newest state."""
         self._states_by_name[state.name] = state
         self._outstanding_by_name.setdefault(state.name, 0)
-        early, self._early = self._early, []
+        waiting, self._waiting = self._waiting, []
         decisions = []
-        for request in early:
+        for request in waiting:
             decisions += self.register(request, now)
         return True, decisions
 
@@ -119,7 +119,7 @@
         before = self._outstanding_by_name.get(name, 0)
         self._outstanding_by_name[name] = before + 1
 
-    def _least(self, value_by_name: dict[str, float]) -> str:
+    def _pick_least(self, value_by_name: dict[str, float]) -> str:
         """Return the name with the least value, ties broken at random."""
         least = min(value_by_name.values())
         names = [name for name, value in value_by_name.items() if value == least]
@@ -129,7 +129,7 @@
 class Random(Baseline):
     """Any upstream."""
 
-    def choose(self) -> str:
+    def pick(self) -> str:
         """Return the name of the upstream for the next request."""
         names = list(self._states_by_name)
         return names[int(self._rng.integers(len(names)))]
@@ -140,7 +140,7 @@
 
     _next = 0
 
-    def choose(self) -> str:
+    def pick(self) -> str:
         """Return the name of the upstream for the next request."""
         names = list(self._states_by_name)
         self._next += 1
@@ -150,9 +150,9 @@
 class LeastReportedLoad(Baseline):
     """The upstream whose newest report is the lowest for its slots."""
 
-    def choose(self) -> str:
+    def pick(self) -> str:
         """Return the name of the upstream for the next request."""
-        return self._least(
+        return self._pick_least(
             {
                 name: (state.load.running + state.load.waiting) / state.slots
                 if state.load is not None
@@ -165,9 +165,9 @@
 class LeastOutstanding(Baseline):
     """The upstream with the fewest own requests for its slots."""
 
-    def choose(self) -> str:
+    def pick(self) -> str:
         """Return the name of the upstream for the next request."""
-        return self._least(
+        return self._pick_least(
             {
                 name: self._outstanding_by_name[name] / state.slots
                 for name, state in self._states_by_name.items()
--- a/bench/cases.py
+++ b/bench/cases.py
@@ -11,10 +11,10 @@
         CaseSpec("late-reports", report_lag=5.0),
         CaseSpec("lost-events", event_loss=0.3),
         CaseSpec("owner-killed", killed_at=0.5),
-        CaseSpec("comebacks", bursty=True, comebacks=2),
+        CaseSpec("comebacks", bursty=True, max_retries=2),
     )
 }
 
 LOADS = (0.5, 0.8, 1.0, 1.5, 3.0)
-UNLOADED = 0.2
+UNLOADED_LOAD = 0.2
 """The load of the runs that say what a tier gets when nothing is in its way."""
--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -9,8 +9,8 @@
 
 import curio
 
-from bench.client import Request, Result, async_each, async_request, is_true
-from bench.setup import chat
+from bench.client import Request, Result, async_each, async_request, is_correct
+from bench.setup import chat_request
 from standins.answers import digest
 from tests.scenarios import builders
 from tests.scenarios.deployment import Deployment
@@ -18,7 +18,7 @@
 TIMEOUT_S = 40.0
 PAUSE_S = (0.3, 1.2)
 FROZEN_S = (0.5, 4.0)
-KEYED_TRIES = 4
+KEYED_ATTEMPTS = 4
 KEYED_PAUSE_S = 0.5
 
 
@@ -39,7 +39,7 @@
 
     def run(self) -> dict[str, Any]:
         """Run all requests and return the counts."""
-        disturbing = threading.Thread(target=self._disturb)
+        disturbing = threading.Thread(target=self._inject_faults)
         disturbing.start()
         begun = time.perf_counter()
         try:
@@ -49,9 +49,9 @@
             self._done.set()
             disturbing.join()
         time.sleep(3.0)
-        return self._count_all() | {"run_s": round(wall, 1)}
+        return self._summarize() | {"run_s": round(wall, 1)}
 
-    def _disturb(self) -> None:
+    def _inject_faults(self) -> None:
         chance = random.Random(self._random.random())
         names = [host.name for host in self._hosts if host.name.startswith("c")]
         while not self._done.wait(chance.uniform(*PAUSE_S)):
@@ -72,12 +72,12 @@
         request = self._request(number)
         results: list[Result] = []
         self._results[number] = (request, results)
-        tries = KEYED_TRIES if "Idempotency-Key" in request.headers else 1
-        for _ in range(tries):
+        max_attempts = KEYED_ATTEMPTS if "Idempotency-Key" in request.headers else 1
+        for _ in range(max_attempts):
             results.append(await self._async_send(request))
             if results[-1].status == 200 and not results[-1].cut:
                 return
-            if tries > 1:
+            if max_attempts > 1:
                 await curio.sleep(KEYED_PAUSE_S)
 
     async def _async_send(self, request: Request) -> Result:
@@ -93,7 +93,7 @@
         kind = number % 10
         name = f"c{number}"
         if kind < 5:
-            return chat(name, tokens=5 + number % 40)
+            return chat_request(name, tokens=5 + number % 40)
         token = builders.TOKENS_BY_WORKSPACE["wards"]
         headers = {"Authorization": f"Bearer {token}"}
         if kind == 5:
@@ -107,7 +107,7 @@
         body = builders.request_body("/bonds", name, 0)
         return Request("POST", "/bonds", headers, body)
 
-    def _count_all(self) -> dict[str, Any]:
+    def _summarize(self) -> dict[str, Any]:
         runs: Counter[tuple[str, str]] = Counter(
             (record["path"], record["digest"])
             for record in self._deployment.records("run")
@@ -118,15 +118,15 @@
             ran = runs[request.target, digest(request.body)]
             found[f"runs {ran}"] += 1
             for result in results:
-                found[f"heard {describe(result)}"] += 1
-            for fault in faults_of(request, results, ran):
+                found[f"heard {describe_result(result)}"] += 1
+            for fault in find_faults(request, results, ran):
                 found[f"FAULT {fault}"] += 1
                 wrong.append(
                     {
                         "number": number,
                         "fault": fault,
                         "runs": ran,
-                        "heard": [describe(result) for result in results],
+                        "heard": [describe_result(result) for result in results],
                     }
                 )
         recorded = sum(runs.values())
@@ -139,7 +139,7 @@
         }
 
 
-def describe(result: Result) -> str:
+def describe_result(result: Result) -> str:
     """Return in short what a caller heard."""
     if not result.sent:
         return "no host"
@@ -151,14 +151,14 @@
     return " ".join(word for word in words if word)
 
 
-def faults_of(request: Request, results: list[Result], ran: int) -> list[str]:
+def find_faults(request: Request, results: list[Result], ran: int) -> list[str]:
     """Return which promises a request's answers and runs break."""
     faults = []
     if ran > 1:
         faults.append("ran more than once")
     for result in results:
         whole = result.status == 200 and not result.cut
-        if whole and not is_true(request, result):
+        if whole and not is_correct(request, result):
             faults.append("wrong, mixed or short without a visible cut")
         if whole and ran == 0:
             faults.append("answered but never ran")
--- a/bench/client.py
+++ b/bench/client.py
@@ -43,7 +43,7 @@
 async def async_request(port: int, request: Request, timeout: float) -> Result:
     """Send a request on a connection of its own and follow the answer."""
     begun = time.perf_counter()
-    seen = _Seen()
+    seen = _PartialResponse()
     try:
         async with curio.timeout_after(timeout):
             sock = await curio.open_connection("127.0.0.1", port)
@@ -69,7 +69,7 @@
     )
 
 
-class _Seen:
+class _PartialResponse:
     """What has come so far."""
 
     def __init__(self) -> None:
@@ -81,7 +81,7 @@
         self.parts: list[bytes] = []
 
 
-async def _async_exchange(sock: Any, request: Request, seen: _Seen) -> None:
+async def _async_exchange(sock: Any, request: Request, seen: _PartialResponse) -> None:
     http = h11.Connection(h11.CLIENT)
     fields = {"Host": "127.0.0.1", "Connection": "close", **request.headers}
     if request.body:
@@ -112,7 +112,7 @@
             return
 
 
-def is_true(request: Request, result: Result) -> bool:
+def is_correct(request: Request, result: Result) -> bool:
     """Tell whether a body is the whole and true answer to a request."""
     body = result.body
     if not request.target.startswith("/v1/"):
--- a/bench/control.py
+++ b/bench/control.py
@@ -14,15 +14,15 @@
 
 import curio
 
-from bench.control_fleet import async_measure_fleet, measure_sessions
+from bench.control_fleet import async_measure_heartbeats, measure_sessions
 from bench.control_parts import (
-    allocated,
     make_change,
     make_claim,
     make_command,
     make_document,
     make_runtime,
-    processor_seconds,
+    measure_allocation,
+    measure_cpu_seconds,
 )
 from bitterntiller.components import replication
 from bitterntiller.components.config.parse import parse_config
@@ -49,14 +49,14 @@
         for index, command in enumerate(commands, 1):
             state.apply(index, command)
 
-    seconds = processor_seconds(apply_all)
+    seconds = measure_cpu_seconds(apply_all)
     assert state.configuration.version == CHANGES
     document = make_document(workspaces)
-    parse = processor_seconds(lambda: parse_config(document, 1))
-    _, size = allocated(lambda: parse_config(make_document(workspaces), 1))
+    parse = measure_cpu_seconds(lambda: parse_config(document, 1))
+    _, size = measure_allocation(lambda: parse_config(make_document(workspaces), 1))
     patches = state.configuration.patches_since(CHANGES - 1) or []
     snapshot = state.snapshot()
-    restore = processor_seconds(lambda: ControlState().restore(snapshot))
+    restore = measure_cpu_seconds(lambda: ControlState().restore(snapshot))
     return {
         "workspaces": workspaces,
         "apply_ms": round(seconds / CHANGES * 1000, 3),
@@ -81,14 +81,14 @@
         for at in groups
     ]
     count = len(commands) * MAX_CLAIMS_PER_GROUP
-    seconds = processor_seconds(
+    seconds = measure_cpu_seconds(
         lambda: [state.apply(index, item) for index, item in enumerate(commands, 1)]
     )
     assert len(state.claims.records_by_key) == count
-    _, size = allocated(lambda: _claims_state(commands))
-    snapshot_seconds = processor_seconds(state.snapshot)
+    _, size = measure_allocation(lambda: _claims_state(commands))
+    snapshot_seconds = measure_cpu_seconds(state.snapshot)
     data = state.snapshot()
-    restore_seconds = processor_seconds(lambda: ControlState().restore(data))
+    restore_seconds = measure_cpu_seconds(lambda: ControlState().restore(data))
     return {
         "claims": count,
         "applies_a_second": round(count / seconds),
@@ -159,7 +159,7 @@
         "claims_synced_one_replica": synced,
         "sessions": measure_sessions(),
         "fleets": [
-            curio.run(async_measure_fleet, nodes, workspaces)
+            curio.run(async_measure_heartbeats, nodes, workspaces)
             for workspaces in WORKSPACES
             for nodes in NODES
         ],
--- a/bench/control_cost.py
+++ b/bench/control_cost.py
@@ -15,7 +15,7 @@
     wait_for,
 )
 
-TRANSFER_PATIENCE_S = 120.0
+REPAIR_TIMEOUT_S = 120.0
 
 
 @cappa.command(name="cost")
@@ -35,7 +35,9 @@
         # A host that finds no control has all parts but no session and no
         # configuration: what it lacks in memory is what control takes.
         deployment.sessionless = {"alone"}
-        deployment.begin(others | {"alone": "entry,dispatch"}, "entry,dispatch", False)
+        deployment.start_all(
+            others | {"alone": "entry,dispatch"}, "entry,dispatch", False
+        )
         time.sleep(5.0)
         leader = deployment.leader()
         followers = [name for name in REPLICAS if name != leader]
@@ -111,7 +113,7 @@
     def run(self, deployment: ControlDeployment) -> dict[str, Any]:
         """Fill the log step by step; restart a follower, all, and lose a disk."""
         deployment.snapshot_entries = self.snapshot_entries
-        deployment.begin({}, "entry,dispatch", proxied=False)
+        deployment.start_all({}, "entry,dispatch", proxied=False)
         taken, rows = 0, []
         for claims in self.claims or [0, 10_000, 40_000, 90_000]:
             curio.run(async_take_claims, deployment, claims - taken)
@@ -127,9 +129,13 @@
         claims = deployment.control()["control"]["state"]["claims"]
         index = deployment.control()["control"]["log"]["commit_index"]
         deployment.process(one).kill()
-        wait_for("the loss is seen", lambda: deployment.survives([leader]) == 0)
+        wait_for(
+            "the loss is seen", lambda: deployment.failure_tolerance([leader]) == 0
+        )
         deployment.start_host(one)
-        follower = wait_for("a follower", lambda: deployment.survives([leader]) == 1)
+        follower = wait_for(
+            "a follower", lambda: deployment.failure_tolerance([leader]) == 1
+        )
         for name in REPLICAS:
             deployment.process(name).kill()
         for name in REPLICAS:
@@ -137,19 +143,21 @@
         ready = wait_for(
             "all hosts", lambda: all(deployment.ready(n) for n in REPLICAS)
         )
-        wait_for("redundancy", lambda: deployment.survives() == 1)
+        wait_for("redundancy", lambda: deployment.failure_tolerance() == 1)
         leader = deployment.leader()
         one = next(name for name in REPLICAS if name != leader)
         deployment.process(one).kill()
-        wait_for("the loss is seen", lambda: deployment.survives([leader]) == 0)
+        wait_for(
+            "the loss is seen", lambda: deployment.failure_tolerance([leader]) == 0
+        )
         (deployment.folder / f"data-{one}").rename(
             deployment.folder / f"lost-{one}-{uuid.uuid4().hex}"
         )
         deployment.start_host(one)
         repair = wait_for(
             "the repair",
-            lambda: deployment.survives([leader]) == 1,
-            TRANSFER_PATIENCE_S,
+            lambda: deployment.failure_tolerance([leader]) == 1,
+            REPAIR_TIMEOUT_S,
         )
         return {
             "claims": claims,
--- a/bench/control_fleet.py
+++ b/bench/control_fleet.py
@@ -8,10 +8,10 @@
 
 from bench.control_parts import (
     LocalLog,
-    allocated,
     make_change,
     make_document,
     make_runtime,
+    measure_allocation,
 )
 from bitterntiller.components.config.parse import parse_config
 from bitterntiller.components.control.coordinator import ControlCoordinator
@@ -60,12 +60,12 @@
 
     async def async_round(self) -> None:
         """Have each node send one heartbeat; add up time and bytes."""
-        heartbeats = self._in_nodes(
+        heartbeats = self._time_nodes(
             lambda: [encode(node.make_heartbeat()) for node in self.nodes]
         )
         replies: list[bytes] = []
 
-        async def answer(data: bytes) -> None:
+        async def handle_heartbeat(data: bytes) -> None:
             heartbeat = decode(messages.Heartbeat, data)
             reply = await self.leader.async_heartbeat(heartbeat.host, heartbeat)
             replies.append(encode(reply))
@@ -73,26 +73,26 @@
         began = time.process_time()
         async with curio.TaskGroup() as group:
             for data in heartbeats:
-                await group.spawn(answer, data)
+                await group.spawn(handle_heartbeat, data)
         self.leader_seconds += time.process_time() - began
         self.bytes_up += sum(map(len, heartbeats))
         self.bytes_down += sum(map(len, replies))
         now = self.clock.now()
 
-        def take_all() -> None:
+        def apply_replies() -> None:
             for node, data in zip(self.nodes, replies, strict=True):
                 assert node.apply_reply(decode(messages.HeartbeatReply, data), now)
 
-        self._in_nodes(take_all)
+        self._time_nodes(apply_replies)
         self.clock.advance(0.5)
 
-    def _in_nodes(self, call: Callable[[], Any]) -> Any:
+    def _time_nodes(self, call: Callable[[], Any]) -> Any:
         began = time.process_time()
         result = call()
         self.node_seconds += time.process_time() - began
         return result
 
-    async def async_measured(self, rounds: int) -> dict[str, float]:
+    async def async_measure_rounds(self, rounds: int) -> dict[str, float]:
         """Return costs of one heartbeat, over some rounds."""
         self.leader_seconds = self.node_seconds = 0.0
         self.bytes_up = self.bytes_down = 0
@@ -107,7 +107,7 @@
         }
 
 
-async def async_measure_fleet(nodes: int, workspaces: int) -> dict[str, Any]:
+async def async_measure_heartbeats(nodes: int, workspaces: int) -> dict[str, Any]:
     fleet = Fleet(nodes, workspaces)
     await fleet.leader.async_start(tick=False)
     await fleet.async_change()
@@ -115,13 +115,13 @@
         await fleet.async_round()
         await fleet.leader.async_place()
     await fleet.async_round()
-    steady = await fleet.async_measured(ROUNDS_OF_HEARTBEATS)
+    steady = await fleet.async_measure_rounds(ROUNDS_OF_HEARTBEATS)
     await fleet.async_change()
-    change = await fleet.async_measured(1)
+    change = await fleet.async_measure_rounds(1)
     fleet.nodes[0]._runtime.incarnation = "f" * 32
-    await fleet.async_measured(1)
+    await fleet.async_measure_rounds(1)
     await fleet.leader.async_place()
-    directory = await fleet.async_measured(1)
+    directory = await fleet.async_measure_rounds(1)
     await fleet.leader._runtime.stack.aclose()
     seconds = heartbeat_interval(nodes, Timings())
     day = {
@@ -138,13 +138,15 @@
         "steady": steady,
         "with_a_change": change,
         "with_a_new_directory": directory,
-        "node_bytes_a_second": _rate(day, costs, steady, "bytes_up", "bytes_down"),
-        "node_core_percent": _rate(day, costs, steady, "node_us") / 1e4,
-        "leader_core_percent": nodes * _rate(day, costs, steady, "leader_us") / 1e4,
+        "node_bytes_a_second": _mean_rate(day, costs, steady, "bytes_up", "bytes_down"),
+        "node_core_percent": _mean_rate(day, costs, steady, "node_us") / 1e4,
+        "leader_core_percent": nodes
+        * _mean_rate(day, costs, steady, "leader_us")
+        / 1e4,
     }
 
 
-def _rate(
+def _mean_rate(
     day: dict[str, float],
     costs: dict[str, dict[str, float]],
     steady: dict[str, float],
@@ -167,7 +169,7 @@
         fleet.nodes = fleet.nodes[:1]
         return fleet
 
-    _, base = allocated(build)
+    _, base = measure_allocation(build)
 
     def build_sessions() -> Fleet:
         fleet = build()
@@ -179,13 +181,15 @@
             term.sessions.record_heartbeat(heartbeat, fleet.clock.now())
         return fleet
 
-    fleet, with_sessions = allocated(build_sessions)
+    fleet, with_sessions = measure_allocation(build_sessions)
     term = fleet.leader.leader_term()
     term.rebuild_directory(fleet.clock.now())
     data = encode(term.directory.current)
     assert len(term.directory.current.hosts) == 320
     node = fleet.nodes[0]
-    _, hosts = allocated(lambda: node.directory.apply(decode(messages.Directory, data)))
+    _, hosts = measure_allocation(
+        lambda: node.directory.apply(decode(messages.Directory, data))
+    )
     return {
         "leader_bytes_a_session": round((with_sessions - base) / 320),
         "node_bytes_a_host": round(hosts / 320),
--- a/bench/control_parts.py
+++ b/bench/control_parts.py
@@ -132,13 +132,13 @@
     return encode(command)
 
 
-def processor_seconds(call: Callable[[], Any]) -> float:
+def measure_cpu_seconds(call: Callable[[], Any]) -> float:
     began = time.process_time()
     call()
     return time.process_time() - began
 
 
-def allocated(call: Callable[[], Any]) -> tuple[Any, int]:
+def measure_allocation(call: Callable[[], Any]) -> tuple[Any, int]:
     """Return the result of a call and the bytes that it left allocated."""
     gc.collect()
     tracemalloc.start()
--- a/bench/control_setup.py
+++ b/bench/control_setup.py
@@ -41,7 +41,9 @@
             value["control"]["addresses"] = [f"127.0.0.1:{free_port()}"]
         return value
 
-    def begin(self, others: dict[str, str], replica_roles: str, proxied: bool) -> None:
+    def start_all(
+        self, others: dict[str, str], replica_roles: str, proxied: bool
+    ) -> None:
         """Start three replicas and other hosts, by name with their roles."""
         for name in REPLICAS:
             self.add_host(name, {"roles": f"{replica_roles},control"}, proxied)
@@ -56,7 +58,7 @@
                 and "entry" in self.hosts_by_name[name].roles
             ):
                 wait_for(f"{name} ready", lambda n=name: self.ready(n))
-        wait_for("redundancy", lambda: self.survives() == 1)
+        wait_for("redundancy", lambda: self.failure_tolerance() == 1)
 
     def _apply_first(self, host: str) -> bool:
         return self.apply(host, builders.config_document()) == 200
@@ -75,7 +77,7 @@
                 return dict(body)
         return {}
 
-    def survives(self, names: Iterable[str] = REPLICAS) -> int | None:
+    def failure_tolerance(self, names: Iterable[str] = REPLICAS) -> int | None:
         """Return how many further losses are survived now."""
         found = self.control(names)
         return found["control"]["log"]["survives_losses"] if found else None
@@ -129,30 +131,30 @@
     def gauge(self, name: str, value: float) -> None: ...
 
 
-def wait_for(what: str, ready: Callable[[], bool], patience: float = 60.0) -> float:
+def wait_for(what: str, ready: Callable[[], bool], timeout: float = 60.0) -> float:
     """Wait until something holds; return the seconds that it took."""
     begun = time.monotonic()
     while not ready():
-        if time.monotonic() - begun > patience:
+        if time.monotonic() - begun > timeout:
             raise TimeoutError(what)
         time.sleep(POLL_S)
     return time.monotonic() - begun
 
 
-def spread(seconds: list[float]) -> dict[str, Any]:
+def latency_summary(seconds: list[float]) -> dict[str, Any]:
     """Return count, median, 99th percentile and maximum, in milliseconds."""
     ordered = sorted(seconds)
     if not ordered:
         return {"n": 0}
 
-    def at(part: float) -> float:
-        place = min(int(len(ordered) * part), len(ordered) - 1)
+    def at(quantile: float) -> float:
+        place = min(int(len(ordered) * quantile), len(ordered) - 1)
         return round(ordered[place] * 1000, 1)
 
     return {"n": len(ordered), "p50_ms": at(0.5), "p99_ms": at(0.99), "max_ms": at(1)}
 
 
-async def async_timed(
+async def async_measure_rate(
     workers: int, seconds: float, async_one: Callable[[int], Any]
 ) -> dict[str, Any]:
     """Call with ever new numbers, several at once; return rate and latency."""
@@ -175,7 +177,12 @@
         for _ in range(workers):
             await group.spawn(async_worker)
     rate = round(len(times) / (time.monotonic() - begun), 1)
-    return {"a_second": rate, "at_once": workers, **spread(times), "results": results}
+    return {
+        "a_second": rate,
+        "at_once": workers,
+        **latency_summary(times),
+        "results": results,
+    }
 
 
 def config_bytes(number: int, workspaces: int = 0) -> bytes:
--- a/bench/control_system.py
+++ b/bench/control_system.py
@@ -24,8 +24,8 @@
 from bench.control_setup import (
     REPLICAS,
     ControlDeployment,
-    async_timed,
-    spread,
+    async_measure_rate,
+    latency_summary,
     wait_for,
 )
 from tests.scenarios import builders
@@ -41,7 +41,7 @@
 
     def run(self, deployment: ControlDeployment) -> dict[str, Any]:
         """Send to the leader's internal port."""
-        deployment.begin({}, "entry,dispatch", proxied=False)
+        deployment.start_all({}, "entry,dispatch", proxied=False)
         return dict(curio.run(self._async_run, deployment))
 
     async def _async_run(self, deployment: ControlDeployment) -> dict[str, Any]:
@@ -62,7 +62,7 @@
         found = {}
         for name, one in (("changes", async_change), ("claims", async_claim)):
             for workers in (1, 32, 256):
-                measured = await async_timed(workers, self.seconds, one)
+                measured = await async_measure_rate(workers, self.seconds, one)
                 found[f"{name}_{workers}"] = measured
         timings = deployment.state(deployment.leader())["components"]["metrics"]
         found["sync"] = timings["timers"].get("replication.sync")
@@ -78,7 +78,7 @@
 
     def run(self, deployment: ControlDeployment) -> dict[str, Any]:
         """Kill the leader, ask the others for changes, start it again."""
-        deployment.begin({}, "entry,dispatch", proxied=False)
+        deployment.start_all({}, "entry,dispatch", proxied=False)
         times = []
         for number in range(self.tries):
             leader = deployment.leader()
@@ -89,8 +89,13 @@
             curio.run(self._async_until_accepted, deployment, version, number)
             times.append(time.monotonic() - begun)
             deployment.start_host(leader)
-            wait_for("redundancy", lambda o=others: deployment.survives(o) == 1)
-        return {"without_leader": spread(times), "all_s": [round(t, 2) for t in times]}
+            wait_for(
+                "redundancy", lambda o=others: deployment.failure_tolerance(o) == 1
+            )
+        return {
+            "without_leader": latency_summary(times),
+            "all_s": [round(t, 2) for t in times],
+        }
 
     async def _async_until_accepted(
         self, deployment: ControlDeployment, version: int, number: int
@@ -115,7 +120,7 @@
     def run(self, deployment: ControlDeployment) -> dict[str, Any]:
         """Watch the version at all nodes; then with one of them cut off."""
         nodes = {f"n{number}": "entry,dispatch" for number in range(6)}
-        deployment.begin(nodes, "entry,dispatch", proxied=True)
+        deployment.start_all(nodes, "entry,dispatch", proxied=True)
         whole = [self._change(deployment, number, "") for number in range(self.tries)]
         cut = []
         for number in range(self.tries_cut):
@@ -126,9 +131,9 @@
                 deployment.set_cut("n5", name, False)
             wait_for("n5 is back", lambda: deployment.ready("n5"))
         return {
-            "accepted": spread([accepted for accepted, _ in whole]),
-            "in_force_on_9": spread([done for _, done in whole]),
-            "in_force_with_one_cut": spread([done for _, done in cut]),
+            "accepted": latency_summary([accepted for accepted, _ in whole]),
+            "in_force_on_9": latency_summary([done for _, done in whole]),
+            "in_force_with_one_cut": latency_summary([done for _, done in cut]),
             "resolution_ms": 20,
         }
 
@@ -144,7 +149,9 @@
         begun = time.monotonic()
 
         def watch(name: str) -> None:
-            wait_for(name, lambda: self._obeys(deployment, name, version + 1, cut))
+            wait_for(
+                name, lambda: self._enforces_version(deployment, name, version + 1, cut)
+            )
             done.append(time.monotonic() - begun)
 
         threads = [
@@ -161,7 +168,7 @@
         assert len(done) == len(threads)
         return accepted, max(done)
 
-    def _obeys(
+    def _enforces_version(
         self, deployment: ControlDeployment, name: str, version: int, cut: str
     ) -> bool:
         """Tell whether a node can send nothing under an older configuration."""
@@ -190,7 +197,7 @@
         if self.serving_on:
             deployment.timings |= {"lease": 3600.0, "owner_lease": 3700.0}
         roles = {"owner": "dispatch", "d": "entry", "e": "entry"}
-        deployment.begin(roles, "entry", proxied=True)
+        deployment.start_all(roles, "entry", proxied=True)
         deployment.start_upstream("plain", "p1", {"slots": "64"})
         wait_for("p1", lambda: bool(deployment.records("accepted")))
         leader = deployment.leader()
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -16,7 +16,7 @@
 import curio
 
 from bench.client import Request, async_each, async_request
-from bench.setup import Sizes, chat, cpu_seconds, start_deployment
+from bench.setup import ProcessCounts, chat_request, cpu_seconds, start_deployment
 from tests.scenarios.builders import TOKENS_BY_WORKSPACE
 from tests.scenarios.deployment import Deployment
 
@@ -44,7 +44,7 @@
         self._port = deployment.hosts_by_name["b0"].ports["caller"]
         self._idle_by_role = self._used(lambda: time.sleep(IDLE_S))
 
-    def of(self, requests: list[Request]) -> dict[str, Any]:
+    def measure(self, requests: list[Request]) -> dict[str, Any]:
         """Return the microseconds that one of the requests costs each role."""
         failures = 0
 
@@ -85,14 +85,14 @@
         return used | {"wall": time.perf_counter() - begun}
 
 
-def lookup(number: int) -> Request:
+def lookup_request(number: int) -> Request:
     """Return a short call of the plain service."""
     token = TOKENS_BY_WORKSPACE["foresters"]
     headers = {"Authorization": f"Bearer {token}", "X-Deadline-Ms": "60000"}
     return Request("GET", f"/lookups/{number}", headers, b"")
 
 
-def announcement(number: int) -> Request:
+def announcement_request(number: int) -> Request:
     """Return an announcement of one of 600 upstreams that leave at once."""
     document = {
         "name": f"n{number % 600}",
@@ -114,18 +114,20 @@
 def main() -> None:
     """Run the measurement and print its figures as JSON."""
     cost = cappa.parse(Cost)
-    sizes = Sizes(engines=2, plain=2, slots=SLOTS, entry_only=1, token_ms=0.2)
+    sizes = ProcessCounts(engines=2, plain=2, slots=SLOTS, entry_only=1, token_ms=0.2)
     with tempfile.TemporaryDirectory() as folder, Deployment(Path(folder)) as found:
         start_deployment(found, sizes)
         measurement = Measurement(found, cost.workers)
-        streams = [chat(f"c{number}", cost.tokens) for number in range(cost.requests)]
-        lookups = [lookup(number) for number in range(cost.requests)]
-        announcements = [announcement(n) for n in range(cost.announcements)]
+        streams = [
+            chat_request(f"c{number}", cost.tokens) for number in range(cost.requests)
+        ]
+        lookups = [lookup_request(number) for number in range(cost.requests)]
+        announcements = [announcement_request(n) for n in range(cost.announcements)]
         figures = {
             "idle_cores": measurement.idle(),
-            "lookup": measurement.of(lookups),
-            "stream": measurement.of(streams) | {"tokens": cost.tokens},
-            "announcement": measurement.of(announcements),
+            "lookup": measurement.measure_requests(lookups),
+            "stream": measurement.measure_requests(streams) | {"tokens": cost.tokens},
+            "announcement": measurement.measure_requests(announcements),
             "load_1m": round(os.getloadavg()[0], 1),
         }
     print(json.dumps(figures, indent=1))
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -24,7 +24,7 @@
 TICK_EVERY = 0.25
 
 
-class Load:
+class SchedulerLoad:
     """Keeps a scheduler's upstreams full and so many requests waiting."""
 
     def __init__(self, upstreams: int, waiting: int, seed: int) -> None:
@@ -40,10 +40,10 @@
         for name in self._names:
             self._announce(name)
         for _ in range(upstreams * SLOTS + waiting):
-            self.arrive()
-        self.settle()
+            self.add_request()
+        self.fill_slots()
 
-    def arrive(self) -> None:
+    def add_request(self) -> None:
         """Have one request arrive."""
         self._number += 1
         rng = self._rng
@@ -60,9 +60,9 @@
             entry_host="host",
             prefix_hashes=tuple(document << 8 | level for level in range(4)),
         )
-        self._take(self.scheduler.register(request, self.now))
+        self._apply(self.scheduler.register(request, self.now))
 
-    def end_one(self) -> None:
+    def finish_one(self) -> None:
         """Have one running request end."""
         running = self._running
         place = self._rng.randrange(len(running))
@@ -71,9 +71,9 @@
         done = Completion(
             grant.request_id, grant.upstream, "done", 100, 0, 0.2, 2.0, True
         )
-        self._take(self.scheduler.finished(done, self.now))
+        self._apply(self.scheduler.finished(done, self.now))
 
-    def settle(self) -> None:
+    def fill_slots(self) -> None:
         """Announce and tick as time passes, until all slots are in use."""
         for _ in range(100):
             self.advance(TICK_EVERY)
@@ -84,16 +84,16 @@
         for _ in range(max(1, int(len(self._names) * seconds))):
             self._announced = (self._announced + 1) % len(self._names)
             self._announce(self._names[self._announced])
-        self._take(self.scheduler.tick(self.now))
+        self._apply(self.scheduler.tick(self.now))
 
     def _announce(self, name: str) -> None:
         self._sequence += 1
         state = UpstreamState(
             name, "127.0.0.1:9", 1, self._sequence, False, {}, SLOTS, 10_000_000
         )
-        self._take(self.scheduler.announce(state, self.now)[1])
+        self._apply(self.scheduler.announce(state, self.now)[1])
 
-    def _take(self, decisions: list[Decision]) -> None:
+    def _apply(self, decisions: list[Decision]) -> None:
         for decision in decisions:
             self.decided += 1
             if isinstance(decision, Granted):
@@ -104,14 +104,14 @@
 
 def measure(upstreams: int, waiting: int) -> dict[str, float]:
     """Return decisions a second of processor time at one size."""
-    load = Load(upstreams, waiting, seed=1)
+    load = SchedulerLoad(upstreams, waiting, seed=1)
     rate = 10_000.0
     load.decided = 0
     began = time.process_time()
     passed = 0.0
     for _ in range(DECISIONS):
-        load.end_one()
-        load.arrive()
+        load.finish_one()
+        load.add_request()
         passed += 1.0 / rate
         if passed >= TICK_EVERY:
             load.advance(passed)
--- a/bench/engine.py
+++ b/bench/engine.py
@@ -6,13 +6,13 @@
 
 from bench.arrivals import prefix_tokens
 from bench.cache import PrefixCache
-from bench.models import Ask, UpstreamProfile
+from bench.models import OfferedRequest, UpstreamProfile
 
 CHUNK_TOKENS = 512
 """Prompt tokens that are computed along with a decode step, one chunk a step."""
 
 NEVER = float("inf")
-TINY = 1e-9
+EPSILON = 1e-9
 
 
 class Job:
@@ -24,33 +24,33 @@
     """
 
     __slots__ = (
-        "ask",
         "cached",
         "computed",
         "ended",
         "plain",
         "prefill_left",
         "recomputed",
+        "request",
         "request_id",
-        "start",
+        "start_step",
         "state",
         "target",
     )
 
-    def __init__(self, request_id: str, ask: Ask, plain: bool) -> None:
+    def __init__(self, request_id: str, request: OfferedRequest, plain: bool) -> None:
         self.request_id = request_id
-        self.ask = ask
+        self.request = request
         self.plain = plain
         self.state = "waiting"
         self.cached = 0
         self.recomputed = 0
         self.computed = 0.0
         self.prefill_left = 0.0
-        self.start = 0.0
+        self.start_step = 0.0
         self.target = 0.0
 
 
-class Upstream:
+class UpstreamModel:
     """Admits jobs first come, first served, into a batch of limited size.
 
     Prefill is done for one job after the other, in chunks that lengthen the
@@ -64,7 +64,7 @@
         profile: UpstreamProfile,
         on_first_token: Callable[[Job, float], None],
         on_finished: Callable[[Job, float], None],
-        seen_prefixes: set[int],
+        computed_prefixes: set[int],
     ) -> None:
         self.profile = profile
         self.cache = PrefixCache(profile.cache_tokens)
@@ -73,11 +73,11 @@
         self.jobs_by_id: dict[str, Job] = {}
         self._on_first_token = on_first_token
         self._on_finished = on_finished
-        self._seen_prefixes = seen_prefixes
+        self._computed_prefixes = computed_prefixes
         self._waiting: OrderedDict[str, Job] = OrderedDict()
         self._prefilling: OrderedDict[str, Job] = OrderedDict()
         self._decoding: dict[str, Job] = {}
-        self._targets: list[tuple[float, str]] = []
+        self._end_steps: list[tuple[float, str]] = []
         self._steps = 0.0
         self._time = 0.0
 
@@ -95,21 +95,21 @@
         """Return the jobs that are past their first token."""
         return list(self._decoding.values())
 
-    def output(self, job: Job) -> int:
+    def output_tokens(self, job: Job) -> int:
         """Return the output tokens that a job has got so far."""
         if job.state == "decoding":
-            return min(job.ask.output, 1 + int(self._steps - job.start))
-        return job.ask.output if job.state == "done" else 0
+            return min(job.request.output, 1 + int(self._steps - job.start_step))
+        return job.request.output if job.state == "done" else 0
 
     def set_speed(self, speed: float, now: float) -> None:
         """Go on at a fraction of full speed."""
         self.advance(now)
         self.speed = speed
 
-    def submit(self, request_id: str, ask: Ask, now: float) -> Job:
+    def submit(self, request_id: str, request: OfferedRequest, now: float) -> Job:
         """Take a job."""
         self.advance(now)
-        job = Job(request_id, ask, self.profile.plain)
+        job = Job(request_id, request, self.profile.plain)
         self.jobs_by_id[request_id] = job
         self._waiting[request_id] = job
         self._admit(now)
@@ -122,15 +122,15 @@
         if job is None:
             return
         if self._waiting.pop(request_id, None) is not None:
-            self._forget(job, "cancelled")
+            self._remove(job, "cancelled")
             return
         if self.profile.plain:
             return
         if self._prefilling.pop(request_id, None) is not None:
-            job.computed = job.ask.prompt - job.cached - job.prefill_left
+            job.computed = job.request.prompt - job.cached - job.prefill_left
         self._decoding.pop(request_id, None)
-        self.kv_used -= self._kv(job)
-        self._forget(job, "cancelled")
+        self.kv_used -= self._kv_tokens(job)
+        self._remove(job, "cancelled")
         self._admit(now)
 
     def next_event(self) -> float:
@@ -140,9 +140,9 @@
         if self._prefilling:
             job = next(iter(self._prefilling.values()))
             when = self._time + job.prefill_left / prefill_rate
-        self._drop_stale_targets()
-        if self._targets:
-            left = max(0.0, self._targets[0][0] - self._steps)
+        self._drop_stale_end_steps()
+        if self._end_steps:
+            left = max(0.0, self._end_steps[0][0] - self._steps)
             when = min(when, self._time + left / step_rate)
         return when
 
@@ -152,11 +152,11 @@
             when = self.next_event()
             if when > now:
                 break
-            self._move(max(when, self._time))
-            self._settle_events()
-        self._move(now)
+            self._advance_without_events(max(when, self._time))
+            self._process_due_events()
+        self._advance_without_events(now)
 
-    def _move(self, now: float) -> None:
+    def _advance_without_events(self, now: float) -> None:
         """Let time pass in which nothing ends."""
         seconds = now - self._time
         if seconds <= 0:
@@ -169,15 +169,15 @@
             self._steps += seconds * step_rate
         self._time = now
 
-    def _settle_events(self) -> None:
+    def _process_due_events(self) -> None:
         """End the prefill and the decodings that are due."""
         now = self._time
         if self._prefilling:
             job = next(iter(self._prefilling.values()))
-            if job.prefill_left <= TINY * job.ask.prompt:
+            if job.prefill_left <= EPSILON * job.request.prompt:
                 self._end_prefill(job, now)
-        while self._targets and self._targets[0][0] <= self._steps + TINY:
-            _, request_id = heapq.heappop(self._targets)
+        while self._end_steps and self._end_steps[0][0] <= self._steps + EPSILON:
+            _, request_id = heapq.heappop(self._end_steps)
             job = self._decoding.pop(request_id, None)
             if job is not None:
                 self._end(job, now)
@@ -186,26 +186,26 @@
     def _end_prefill(self, job: Job, now: float) -> None:
         del self._prefilling[job.request_id]
         if self.profile.plain:
-            job.computed = float(job.ask.output)
+            job.computed = float(job.request.output)
         else:
-            job.computed = float(job.ask.prompt - job.cached)
-            self.cache.store(job.ask.prefix_hashes)
-            self._seen_prefixes.update(job.ask.prefix_hashes)
+            job.computed = float(job.request.prompt - job.cached)
+            self.cache.store(job.request.prefix_hashes)
+            self._computed_prefixes.update(job.request.prefix_hashes)
         job.state = "decoding"
-        job.start = self._steps
+        job.start_step = self._steps
         self._decoding[job.request_id] = job
         # The prefill of an engine gives the first token itself.
-        steps = job.ask.output if self.profile.plain else job.ask.output - 1
-        heapq.heappush(self._targets, (self._steps + steps, job.request_id))
+        steps = job.request.output if self.profile.plain else job.request.output - 1
+        heapq.heappush(self._end_steps, (self._steps + steps, job.request_id))
         if not self.profile.plain:
             self._on_first_token(job, now)
 
     def _end(self, job: Job, now: float) -> None:
-        self.kv_used -= self._kv(job)
-        self._forget(job, "done")
+        self.kv_used -= self._kv_tokens(job)
+        self._remove(job, "done")
         self._on_finished(job, now)
 
-    def _forget(self, job: Job, state: str) -> None:
+    def _remove(self, job: Job, state: str) -> None:
         job.state = state
         del self.jobs_by_id[job.request_id]
 
@@ -216,26 +216,26 @@
             if self.running and not self._fits(job):
                 return
             del self._waiting[job.request_id]
-            self.kv_used += self._kv(job)
-            self._begin(job, now)
+            self.kv_used += self._kv_tokens(job)
+            self._start_job(job, now)
 
-    def _begin(self, job: Job, now: float) -> None:
+    def _start_job(self, job: Job, now: float) -> None:
         job.state = "prefilling"
         if self.profile.plain:
             self._prefilling[job.request_id] = job
             self._end_prefill(job, now)
             return
-        hashes = job.ask.prefix_hashes
-        job.cached = min(self.cache.cached_tokens(hashes), job.ask.prompt - 1)
-        job.recomputed = max(0, self._seen_tokens(hashes) - job.cached)
-        job.prefill_left = float(job.ask.prompt - job.cached)
+        hashes = job.request.prefix_hashes
+        job.cached = min(self.cache.cached_tokens(hashes), job.request.prompt - 1)
+        job.recomputed = max(0, self._computed_tokens(hashes) - job.cached)
+        job.prefill_left = float(job.request.prompt - job.cached)
         self._prefilling[job.request_id] = job
 
-    def _seen_tokens(self, prefix_hashes: tuple[int, ...]) -> int:
+    def _computed_tokens(self, prefix_hashes: tuple[int, ...]) -> int:
         """Return the longest prefix that some engine of the pool computed before."""
         longest = 0
         for level, prefix_hash in enumerate(prefix_hashes):
-            if prefix_hash not in self._seen_prefixes:
+            if prefix_hash not in self._computed_prefixes:
                 break
             longest = prefix_tokens(level)
         return longest
@@ -243,11 +243,11 @@
     def _fits(self, job: Job) -> bool:
         if self.profile.plain:
             return True
-        return self.kv_used + self._kv(job) <= self.profile.kv_tokens
+        return self.kv_used + self._kv_tokens(job) <= self.profile.kv_tokens
 
     @staticmethod
-    def _kv(job: Job) -> int:
-        return job.ask.prompt + job.ask.output
+    def _kv_tokens(job: Job) -> int:
+        return job.request.prompt + job.request.output
 
     def _rates(self) -> tuple[float, float]:
         """Return prompt tokens and decode steps a second at this moment."""
@@ -260,6 +260,6 @@
         step += CHUNK_TOKENS / profile.prefill_speed
         return CHUNK_TOKENS * self.speed / step, self.speed / step
 
-    def _drop_stale_targets(self) -> None:
-        while self._targets and self._targets[0][1] not in self._decoding:
-            heapq.heappop(self._targets)
+    def _drop_stale_end_steps(self) -> None:
+        while self._end_steps and self._end_steps[0][1] not in self._decoding:
+            heapq.heappop(self._end_steps)
--- a/bench/entry.py
+++ b/bench/entry.py
@@ -2,8 +2,8 @@
 
 from bench.engine import Job
 from bench.events import EventLoop
-from bench.fleet import Station
-from bench.models import Ask
+from bench.fleet import SimulatedUpstream
+from bench.models import OfferedRequest
 from bench.owner import Owner
 from bitterntiller.components.dispatch.models import (
     Completion,
@@ -14,7 +14,7 @@
 )
 
 PROGRESS_SECONDS = 0.5
-TELL_FIRST_TOKEN = False
+REPORT_FIRST_TOKEN = False
 """Whether the first token is told at once, not with the next progress."""
 
 DONE = "done"
@@ -30,7 +30,6 @@
 
     __slots__ = (
         "arrived",
-        "ask",
         "deadline",
         "ended",
         "first_token",
@@ -38,15 +37,18 @@
         "job",
         "outcome",
         "reason",
+        "request",
         "request_id",
-        "tries",
+        "retries",
         "upstream",
     )
 
-    def __init__(self, ask: Ask, tries: int, arrived: float, deadline: float) -> None:
-        self.ask = ask
-        self.tries = tries
-        self.request_id = f"{ask.number}-{tries}"
+    def __init__(
+        self, request: OfferedRequest, retries: int, arrived: float, deadline: float
+    ) -> None:
+        self.request = request
+        self.retries = retries
+        self.request_id = f"{request.number}-{retries}"
         self.arrived = arrived
         self.deadline = deadline
         self.outcome = "waiting"
@@ -59,18 +61,18 @@
 
     def waiting_request(self) -> WaitingRequest:
         """Return what the owner is told of it."""
-        ask = self.ask
+        request = self.request
         return WaitingRequest(
             request_id=self.request_id,
-            workspace=ask.workspace,
-            tier=ask.tier,
-            tier_rank=ask.tier_rank,
-            prompt_tokens=ask.prompt_estimate,
-            output_tokens=ask.output_estimate,
+            workspace=request.workspace,
+            tier=request.tier,
+            tier_rank=request.tier_rank,
+            prompt_tokens=request.prompt_estimate,
+            output_tokens=request.output_estimate,
             arrived=self.arrived,
             deadline=self.deadline,
-            entry_host=f"host-{ask.host}",
-            prefix_hashes=ask.prefix_hashes,
+            entry_host=f"host-{request.host}",
+            prefix_hashes=request.prefix_hashes,
         )
 
 
@@ -78,24 +80,24 @@
     """All entry hosts at once; each message to the owner takes its delay."""
 
     def __init__(
-        self, loop: EventLoop, owner: Owner, delay: float, comebacks: int
+        self, loop: EventLoop, owner: Owner, delay: float, max_retries: int
     ) -> None:
         self._loop = loop
         self._owner = owner
         self._delay = delay
-        self._comebacks = comebacks
-        self.stations_by_name: dict[str, Station] = {}
+        self._max_retries = max_retries
+        self.upstreams_by_name: dict[str, SimulatedUpstream] = {}
         self.attempts_by_id: dict[str, Attempt] = {}
 
-    def arrive(self, ask: Ask, tries: int = 0) -> None:
+    def accept(self, request: OfferedRequest, retries: int = 0) -> None:
         """Take a request and register it with the owner."""
-        deadline = ask.at + ask.deadline
-        attempt = Attempt(ask, tries, self._loop.now(), deadline)
+        deadline = request.at + request.deadline
+        attempt = Attempt(request, retries, self._loop.now(), deadline)
         self.attempts_by_id[attempt.request_id] = attempt
-        self._loop.at(deadline, self._give_up, attempt)
+        self._loop.at(deadline, self._handle_deadline, attempt)
         self._owner.send("register", attempt.waiting_request())
 
-    def decide(self, decision: Decision) -> None:
+    def handle_decision(self, decision: Decision) -> None:
         """Act on a decision of the owner."""
         attempt = self.attempts_by_id[decision.request_id]
         if isinstance(decision, Refused):
@@ -115,21 +117,21 @@
                     "adopt_running",
                     attempt.waiting_request(),
                     attempt.upstream,
-                    self._output(attempt),
+                    self._output_tokens(attempt),
                 )
         for attempt in open_attempts:
             if attempt.outcome == "waiting":
                 self._owner.send("register", attempt.waiting_request())
 
-    def first_token(self, job: Job, now: float) -> None:
+    def record_first_token(self, job: Job, now: float) -> None:
         """Note that an answer has begun."""
         attempt = self.attempts_by_id[job.request_id]
         if attempt.ended is None:
             attempt.first_token = now
-            if TELL_FIRST_TOKEN:
+            if REPORT_FIRST_TOKEN:
                 self._owner.send("progress", attempt.request_id, 1)
 
-    def finished(self, job: Job, now: float) -> None:
+    def record_end(self, job: Job, now: float) -> None:
         """Note that an answer is whole."""
         attempt = self.attempts_by_id[job.request_id]
         if attempt.ended is not None:
@@ -138,18 +140,18 @@
         attempt.ended = now
         if attempt.first_token is None:
             attempt.first_token = now
-        self._tell_end(attempt, DONE)
+        self._report_end(attempt, DONE)
 
     def report_progress(self) -> None:
         """Tell the owner how far the running requests have come, again and again."""
-        for station in self.stations_by_name.values():
-            for job in station.upstream.decoding():
+        for upstream in self.upstreams_by_name.values():
+            for job in upstream.model.decoding():
                 attempt = self.attempts_by_id[job.request_id]
                 if attempt.ended is None and attempt.first_token is not None:
                     self._owner.send(
                         "progress",
                         job.request_id,
-                        self._output(attempt),
+                        self._output_tokens(attempt),
                         first=attempt.first_token - attempt.granted,
                     )
         self._loop.after(PROGRESS_SECONDS, self.report_progress)
@@ -164,10 +166,10 @@
     def _submit(self, attempt: Attempt) -> None:
         if attempt.ended is not None:
             return
-        station = self.stations_by_name[attempt.upstream]
-        attempt.job = station.submit(attempt.request_id, attempt.ask)
+        upstream = self.upstreams_by_name[attempt.upstream]
+        attempt.job = upstream.submit(attempt.request_id, attempt.request)
 
-    def _give_up(self, attempt: Attempt) -> None:
+    def _handle_deadline(self, attempt: Attempt) -> None:
         """End a request at its deadline: the caller goes away."""
         if attempt.ended is not None:
             return
@@ -175,14 +177,14 @@
         attempt.outcome = f"gave-up-{attempt.outcome}"
         attempt.ended = self._loop.now()
         if running:
-            self._tell_end(attempt, CALLER_GONE)
+            self._report_end(attempt, CALLER_GONE)
         else:
             self._owner.send("cancel", attempt.request_id)
         if attempt.job is not None:
-            station = self.stations_by_name[attempt.upstream]
-            self._loop.after(self._delay, station.cancel, attempt.request_id)
+            upstream = self.upstreams_by_name[attempt.upstream]
+            self._loop.after(self._delay, upstream.cancel, attempt.request_id)
 
-    def _tell_end(self, attempt: Attempt, outcome: str) -> None:
+    def _report_end(self, attempt: Attempt, outcome: str) -> None:
         """Tell the owner how a request that was sent has ended."""
         first = attempt.first_token
         plain = attempt.job is None or attempt.job.plain
@@ -190,7 +192,7 @@
             request_id=attempt.request_id,
             upstream=attempt.upstream,
             outcome=outcome,
-            output_tokens=0 if plain else self._output(attempt),
+            output_tokens=0 if plain else self._output_tokens(attempt),
             cached_tokens=None if plain or outcome != DONE else attempt.job.cached,
             first_token=None if first is None else first - attempt.granted,
             total=attempt.ended - attempt.granted,
@@ -205,16 +207,16 @@
         attempt.outcome = "refused"
         attempt.reason = str(refused.reason)
         attempt.ended = now
-        if attempt.tries < self._comebacks:
-            self._come_back(attempt, refused.retry_after)
+        if attempt.retries < self._max_retries:
+            self._retry_later(attempt, refused.retry_after)
 
-    def _come_back(self, attempt: Attempt, retry_after: float) -> None:
+    def _retry_later(self, attempt: Attempt, retry_after: float) -> None:
         """Have a refused caller come back when it is told to, if that is in time."""
         back_at = self._loop.now() + retry_after
         if back_at < attempt.deadline:
-            self._loop.at(back_at, self.arrive, attempt.ask, attempt.tries + 1)
+            self._loop.at(back_at, self.accept, attempt.request, attempt.retries + 1)
 
-    def _output(self, attempt: Attempt) -> int:
+    def _output_tokens(self, attempt: Attempt) -> int:
         if attempt.job is None:
             return 0
-        return self.stations_by_name[attempt.upstream].upstream.output(attempt.job)
+        return self.upstreams_by_name[attempt.upstream].model.output_tokens(attempt.job)
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -5,9 +5,9 @@
 
 import numpy as np
 
-from bench.engine import NEVER, Job, Upstream
+from bench.engine import NEVER, Job, UpstreamModel
 from bench.events import EventLoop
-from bench.models import Ask, CaseSpec, PoolSpec
+from bench.models import CaseSpec, OfferedRequest, PoolSpec
 from bench.owner import Owner
 from bitterntiller.components.dispatch.models import (
     CacheChange,
@@ -20,23 +20,23 @@
 SAMPLE_SECONDS = 0.25
 
 
-class Station:
+class SimulatedUpstream:
     """One upstream: keeps its events planned and announces its state."""
 
     def __init__(
         self,
-        upstream: Upstream,
+        model: UpstreamModel,
         loop: EventLoop,
         owner: Owner,
         case: CaseSpec,
         rng: np.random.Generator,
     ) -> None:
-        self.upstream = upstream
+        self.model = model
         self._loop = loop
         self._owner = owner
         self._case = case
         self._rng = rng
-        self._planned = NEVER
+        self._scheduled_at = NEVER
         self._sequence = 0
         self._loads: deque[UpstreamLoad] = deque()
         self._unsent: deque[tuple[float, CacheChange]] = deque()
@@ -44,59 +44,61 @@
     def start(self) -> None:
         """Begin to announce; at once, then every second at its own phase."""
         self.announce()
-        self._loop.after(float(self._rng.uniform(0, ANNOUNCE_SECONDS)), self._repeat)
+        self._loop.after(
+            float(self._rng.uniform(0, ANNOUNCE_SECONDS)), self._announce_periodically
+        )
         self._sample()
 
-    def submit(self, request_id: str, ask: Ask) -> Job:
+    def submit(self, request_id: str, request: OfferedRequest) -> Job:
         """Take a request."""
-        job = self.upstream.submit(request_id, ask, self._loop.now())
-        self._plan()
+        job = self.model.submit(request_id, request, self._loop.now())
+        self._schedule()
         return job
 
     def cancel(self, request_id: str) -> None:
         """Cancel a request."""
-        self.upstream.cancel(request_id, self._loop.now())
-        self._plan()
+        self.model.cancel(request_id, self._loop.now())
+        self._schedule()
 
     def set_speed(self, speed: float) -> None:
         """Change the speed from now on."""
-        self.upstream.set_speed(speed, self._loop.now())
-        self._plan()
+        self.model.set_speed(speed, self._loop.now())
+        self._schedule()
 
-    def _plan(self) -> None:
-        when = self.upstream.next_event()
-        if when == self._planned or when == NEVER:
-            self._planned = when
+    def _schedule(self) -> None:
+        when = self.model.next_event()
+        if when == self._scheduled_at or when == NEVER:
+            self._scheduled_at = when
             return
-        self._planned = when
+        self._scheduled_at = when
         self._loop.at(when, self._wake, when)
 
-    def _wake(self, planned: float) -> None:
-        if planned != self._planned:
+    def _wake(self, scheduled_at: float) -> None:
+        if scheduled_at != self._scheduled_at:
             return
-        self._planned = NEVER
-        self.upstream.advance(self._loop.now())
-        self._plan()
+        self._scheduled_at = NEVER
+        self.model.advance(self._loop.now())
+        self._schedule()
 
     def _sample(self) -> None:
         """Note the load, which is reported only some time later."""
         now = self._loop.now()
-        self.upstream.advance(now)
+        self.model.advance(now)
         self._loads.append(
             UpstreamLoad(
-                self.upstream.running, self.upstream.waiting, self.upstream.kv_used, now
+                self.model.running, self.model.waiting, self.model.kv_used, now
             )
         )
         self._loop.after(SAMPLE_SECONDS, self._sample)
-        self._plan()
+        self._schedule()
 
-    def _repeat(self) -> None:
+    def _announce_periodically(self) -> None:
         self.announce()
-        self._loop.after(ANNOUNCE_SECONDS, self._repeat)
+        self._loop.after(ANNOUNCE_SECONDS, self._announce_periodically)
 
     def announce(self) -> None:
         """Tell the owner of the present state."""
-        profile = self.upstream.profile
+        profile = self.model.profile
         self._sequence += 1
         state = UpstreamState(
             name=profile.name,
@@ -107,12 +109,12 @@
             labels={"zone": profile.zone, "generation": profile.generation},
             slots=profile.slots,
             kv_tokens=profile.kv_tokens,
-            load=self._late_load(),
-            cache_changes=self._late_changes(),
+            load=self._reported_load(),
+            cache_changes=self._reported_cache_changes(),
         )
         self._owner.send("announce", state)
 
-    def _late_load(self) -> UpstreamLoad | None:
+    def _reported_load(self) -> UpstreamLoad | None:
         """Return the newest load that is old enough to be reported."""
         newest = self._loop.now() - self._case.report_lag
         while len(self._loads) > 1 and self._loads[1].measured_at <= newest:
@@ -121,10 +123,10 @@
             return None
         return self._loads[0]
 
-    def _late_changes(self) -> tuple[CacheChange, ...]:
+    def _reported_cache_changes(self) -> tuple[CacheChange, ...]:
         """Return the cache events that are due, some of them lost."""
         now = self._loop.now()
-        changes = self.upstream.cache.changes
+        changes = self.model.cache.changes
         self._unsent.extend((now, change) for change in changes)
         changes.clear()
         sent = []
@@ -142,12 +144,12 @@
     rng: np.random.Generator,
     on_first_token: Callable[[Job, float], None],
     on_finished: Callable[[Job, float], None],
-) -> dict[str, Station]:
+) -> dict[str, SimulatedUpstream]:
     """Return the upstreams of a pool by name."""
-    seen_prefixes: set[int] = set()
+    computed_prefixes: set[int] = set()
     return {
-        profile.name: Station(
-            Upstream(profile, on_first_token, on_finished, seen_prefixes),
+        profile.name: SimulatedUpstream(
+            UpstreamModel(profile, on_first_token, on_finished, computed_prefixes),
             loop,
             owner,
             case,
--- a/bench/matrix.py
+++ b/bench/matrix.py
@@ -4,7 +4,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import NamedTuple
 
-from bench.cases import CASES_BY_NAME, LOADS, UNLOADED
+from bench.cases import CASES_BY_NAME, LOADS, UNLOADED_LOAD
 from bench.deployments import POOLS_BY_NAME
 from bench.measures import Measures
 from bench.models import RunSpec
@@ -18,7 +18,7 @@
 QUICK_LOADS = (0.5, 1.5, 3.0)
 FIRST_SEED = 100
 
-CASE_BASELINES_TAKE_IT_FOR = {
+EQUIVALENT_CASE_FOR_BASELINES = {
     "late-reports": "calm",
     "lost-events": "calm",
     "comebacks": "bursty",
@@ -61,7 +61,7 @@
 def specs(plan: Plan) -> Iterator[RunSpec]:
     """Yield the runs of a plan, the costly ones first."""
     cells = [(case, load) for load in plan.loads for case in plan.cases]
-    cells.append(("calm", UNLOADED))
+    cells.append(("calm", UNLOADED_LOAD))
     cells = list(dict.fromkeys(cells))
     for case, load in sorted(cells, key=lambda cell: -cell[1]):
         for pool in plan.pools:
@@ -79,20 +79,22 @@
                     )
 
 
-def origin(spec: RunSpec) -> RunSpec:
+def equivalent_spec(spec: RunSpec) -> RunSpec:
     """Return the spec whose run gives the same measures as this one."""
     if spec.scheduler == POLICY:
         return spec
     spec = spec._replace(parameters=())
     if spec.scheduler == LEAST_REPORTED and spec.case == "late-reports":
         return spec
-    return spec._replace(case=CASE_BASELINES_TAKE_IT_FOR.get(spec.case, spec.case))
+    return spec._replace(case=EQUIVALENT_CASE_FOR_BASELINES.get(spec.case, spec.case))
 
 
 def run_all(plan: Plan, jobs: int) -> list[Measures]:
     """Do all runs of a plan in some processes; the order is that of specs()."""
     wanted = list(specs(plan))
-    needed = list(dict.fromkeys(map(origin, wanted)))
+    needed = list(dict.fromkeys(map(equivalent_spec, wanted)))
     with ProcessPoolExecutor(jobs) as executor:
         done = dict(zip(needed, executor.map(run, needed, chunksize=2), strict=True))
-    return [Measures(**{**done[origin(spec)], **spec._asdict()}) for spec in wanted]
+    return [
+        Measures(**{**done[equivalent_spec(spec)], **spec._asdict()}) for spec in wanted
+    ]
--- a/bench/measures.py
+++ b/bench/measures.py
@@ -55,8 +55,8 @@
     attempts = list(hosts.attempts_by_id.values())
     jobs = [attempt for attempt in attempts if attempt.job is not None]
     useful = [attempt for attempt in attempts if attempt.outcome == "useful"]
-    tokens = sum(attempt.ask.prompt + attempt.ask.output for attempt in useful)
-    tiers = sorted({(a.ask.tier_rank, a.ask.tier) for a in attempts})
+    tokens = sum(attempt.request.prompt + attempt.request.output for attempt in useful)
+    tiers = sorted({(a.request.tier_rank, a.request.tier) for a in attempts})
     return Measures(
         **spec._asdict(),
         goodput=len(useful) / spec.duration,
@@ -67,7 +67,7 @@
         calls=owner.calls,
         cpu_seconds=cpu,
         tiers={
-            name: _measure_tier([a for a in attempts if a.ask.tier == name])
+            name: _measure_tier([a for a in attempts if a.request.tier == name])
             for _, name in tiers
         },
     )
@@ -76,12 +76,14 @@
 def _measure_tier(attempts: list[Attempt]) -> TierMeasures:
     useful = [attempt for attempt in attempts if attempt.outcome == "useful"]
     waits = [a.granted - a.arrived for a in attempts if a.granted is not None]
-    first = [a.first_token - a.ask.at for a in attempts if a.first_token is not None]
+    first = [
+        a.first_token - a.request.at for a in attempts if a.first_token is not None
+    ]
     outcomes = Counter(attempt.outcome for attempt in attempts)
     return TierMeasures(
-        offered=len({attempt.ask.number for attempt in attempts}),
+        offered=len({attempt.request.number for attempt in attempts}),
         useful=len(useful),
-        useful_tokens=sum(a.ask.prompt + a.ask.output for a in useful),
+        useful_tokens=sum(a.request.prompt + a.request.output for a in useful),
         gave_up_waiting=outcomes["gave-up-waiting"],
         gave_up_running=outcomes["gave-up-running"],
         refused_by_reason=dict(Counter(a.reason for a in attempts if a.reason)),
--- a/bench/models.py
+++ b/bench/models.py
@@ -80,10 +80,10 @@
     event_loss: float = 0.02
     killed_at: float | None = None
     owner_gap: float = 4.0
-    comebacks: int = 0
+    max_retries: int = 0
 
 
-class Ask(NamedTuple):
+class OfferedRequest(NamedTuple):
     """One request of a caller, true sizes beside the entry host's estimates."""
 
     number: int
--- a/bench/owner.py
+++ b/bench/owner.py
@@ -45,7 +45,7 @@
         """Tell whether somebody owns the pool."""
         return self._scheduler is not None
 
-    def begin(self, settle: float = 0.0) -> None:
+    def start(self, settle: float = 0.0) -> None:
         """Make a scheduler that knows nothing yet the owner of the pool."""
         self._epoch += 1
         self._wake_at = NEVER
@@ -53,7 +53,7 @@
         now = self._loop.now()
         self._settled_at = now + settle
         self._deliver(self._scheduler.set_limits(self._limits, now))
-        self._plan_tick()
+        self._schedule_tick()
 
     def kill(self) -> None:
         """Lose the scheduler and all it knew."""
@@ -78,13 +78,13 @@
         if call == "announce":
             decisions = decisions[1]
         self._deliver(decisions)
-        self._plan_tick()
+        self._schedule_tick()
 
     def _deliver(self, decisions: list[Decision]) -> None:
         for decision in decisions:
             self._loop.after(self._delay, self._on_decision, decision)
 
-    def _plan_tick(self) -> None:
+    def _schedule_tick(self) -> None:
         """Plan the next tick unless one is due before it anyway."""
         now = self._loop.now()
         wake = max(now + 0.001, self._scheduler.next_wake(now))
@@ -99,4 +99,4 @@
         self._wake_at = NEVER
         self.calls += 1
         self._deliver(self._scheduler.tick(self._loop.now()))
-        self._plan_tick()
+        self._schedule_tick()
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -15,10 +15,10 @@
 import cappa
 import curio
 
-from bench.arrivals import make_asks
+from bench.arrivals import make_requests
 from bench.client import Request, Result, async_request
 from bench.deployments import POOLS_BY_NAME
-from bench.models import Ask
+from bench.models import OfferedRequest
 
 BYTES_PER_TOKEN = 4
 CHAT_TARGET = "/v1/chat/completions"
@@ -36,13 +36,13 @@
     total_s: float | None
 
 
-def prompt_of(ask: Ask) -> str:
+def make_prompt(offered: OfferedRequest) -> str:
     """Return a prompt of the ask's size that begins with its shared document."""
     shared = ""
-    if ask.shared:
-        document = ask.prefix_hashes[0]
-        shared = _fill(f"document {document:x} ", ask.shared)
-    return shared + _fill(f"request {ask.number} ", ask.prompt - ask.shared)
+    if offered.shared:
+        document = offered.prefix_hashes[0]
+        shared = _fill(f"document {document:x} ", offered.shared)
+    return shared + _fill(f"request {offered.number} ", offered.prompt - offered.shared)
 
 
 def _fill(text: str, tokens: int) -> str:
@@ -50,63 +50,70 @@
     return (text * (size // len(text) + 1))[:size]
 
 
-def request_of(ask: Ask, token: str, plain: bool) -> Request:
+def make_http_request(offered: OfferedRequest, token: str, plain: bool) -> Request:
     """Return the request that a caller sends for an ask."""
     headers = {
         "Authorization": f"Bearer {token}",
-        "X-Tier": ask.tier,
-        "X-Deadline-Ms": str(int(ask.deadline * 1000)),
+        "X-Tier": offered.tier,
+        "X-Deadline-Ms": str(int(offered.deadline * 1000)),
     }
-    document: dict[str, Any] = {"prompt": prompt_of(ask)}
+    document: dict[str, Any] = {"prompt": make_prompt(offered)}
     if not plain:
-        message = {"role": "user", "content": prompt_of(ask)}
-        document = {"messages": [message], "max_tokens": ask.output, "stream": True}
+        message = {"role": "user", "content": make_prompt(offered)}
+        document = {"messages": [message], "max_tokens": offered.output, "stream": True}
     target = PLAIN_TARGET if plain else CHAT_TARGET
     return Request("POST", target, headers, json.dumps(document).encode())
 
 
-def outcome_of(ask: Ask, result: Result) -> str:
+def classify_outcome(offered: OfferedRequest, result: Result) -> str:
     """Return useful, late, cut, or the reason for which there was no answer."""
     if result.cut:
-        return "late" if result.total_s >= ask.deadline else "cut"
+        return "late" if result.total_s >= offered.deadline else "cut"
     if result.outcome != DONE:
         return result.reason or result.outcome or str(result.status)
-    return "useful" if result.total_s <= ask.deadline else "late"
+    return "useful" if result.total_s <= offered.deadline else "late"
 
 
-async def async_play(
-    asks: list[Ask], ports: list[int], token_by_workspace: dict[str, str], plain: bool
-) -> list[tuple[Ask, Result]]:
+async def async_replay(
+    requests: list[OfferedRequest],
+    ports: list[int],
+    token_by_workspace: dict[str, str],
+    plain: bool,
+) -> list[tuple[OfferedRequest, Result]]:
     """Send each ask at its time to the caller port of its host; return what came.
 
     A caller gives up at the deadline.
     """
-    played: list[tuple[Ask, Result]] = []
+    results: list[tuple[OfferedRequest, Result]] = []
     begun = time.perf_counter()
 
-    async def async_caller(ask: Ask) -> None:
-        port = ports[ask.host % len(ports)]
-        request = request_of(ask, token_by_workspace[ask.workspace], plain)
-        result = await async_request(port, request, ask.deadline)
-        played.append((ask, result))
+    async def async_caller(offered: OfferedRequest) -> None:
+        port = ports[offered.host % len(ports)]
+        request = make_http_request(
+            offered, token_by_workspace[offered.workspace], plain
+        )
+        result = await async_request(port, request, offered.deadline)
+        results.append((offered, result))
 
     async with curio.TaskGroup(wait=all) as group:
-        for ask in asks:
-            pause = ask.at - (time.perf_counter() - begun)
+        for offered in requests:
+            pause = offered.at - (time.perf_counter() - begun)
             if pause > 0:
                 await curio.sleep(pause)
-            await group.spawn(async_caller, ask)
-    return played
+            await group.spawn(async_caller, offered)
+    return results
 
 
-def summarize(played: list[tuple[Ask, Result]]) -> dict[str, TierResult]:
+def summarize(results: list[tuple[OfferedRequest, Result]]) -> dict[str, TierResult]:
     """Return the results by tier, the most important one first."""
     summary = {}
-    for _, tier in sorted({(ask.tier_rank, ask.tier) for ask, _ in played}):
+    for _, tier in sorted(
+        {(offered.tier_rank, offered.tier) for offered, _ in results}
+    ):
         outcomes = [
-            (outcome_of(ask, result), result)
-            for ask, result in played
-            if ask.tier == tier
+            (classify_outcome(offered, result), result)
+            for offered, result in results
+            if offered.tier == tier
         ]
         useful = [result for outcome, result in outcomes if outcome == "useful"]
         summary[tier] = TierResult(
@@ -140,11 +147,13 @@
     def __call__(self) -> None:
         """Play and print the results by tier as JSON."""
         pool = POOLS_BY_NAME[self.pool]
-        asks = make_asks(pool, self.rate, self.seconds, self.bursty, self.seed)
+        requests = make_requests(pool, self.rate, self.seconds, self.bursty, self.seed)
         token_by_workspace = json.loads(self.tokens.read_text())
         plain = pool.upstreams[0].plain
-        played = curio.run(async_play, asks, self.port, token_by_workspace, plain)
-        sys.stdout.write(json.dumps(summarize(played), indent=1) + "\n")
+        results = curio.run(
+            async_replay, requests, self.port, token_by_workspace, plain
+        )
+        sys.stdout.write(json.dumps(summarize(results), indent=1) + "\n")
 
 
 def main() -> None:
--- a/bench/replication.py
+++ b/bench/replication.py
@@ -64,7 +64,7 @@
     def gauge(self, name: str, value: float) -> None: ...
 
 
-class Blob:
+class BlobState:
     """A state of some bytes that commands don't change."""
 
     def __init__(self, size: int = 0) -> None:
@@ -82,7 +82,9 @@
         self.restored_at = time.monotonic()
 
 
-def settings_of(host: str, folder: Path, bootstrap: tuple[str, ...], every: int) -> Any:
+def make_settings(
+    host: str, folder: Path, bootstrap: tuple[str, ...], every: int
+) -> Any:
     addresses = tuple(Address("127.0.0.1", FIRST_PORT + n) for n in range(len(HOSTS)))
     own = addresses[HOSTS.index(host)]
     return Settings(
@@ -101,11 +103,11 @@
 async def async_open(
     host: str,
     folder: Path,
-    blob: Blob,
+    blob: BlobState,
     bootstrap: tuple[str, ...] = HOSTS,
     every: int = 1_000_000,
 ) -> tuple[Runtime, Any]:
-    settings = settings_of(host, folder, bootstrap, every)
+    settings = make_settings(host, folder, bootstrap, every)
     clock, timer = RuntimeClock(), Timer()
     runtime = Runtime(settings, clock, timer)
     own = Peer(host, runtime.incarnation, str(settings.listen.reached_at))
@@ -121,7 +123,7 @@
     """Serve until killed; tell each confirmed beginning of leadership."""
 
     async def serve() -> None:
-        runtime, log = await async_open(host, Path(folder), Blob())
+        runtime, log = await async_open(host, Path(folder), BlobState())
         sys.stdout.write(f"{READY}\n")
         sys.stdout.flush()
         commands = curio.Queue()
@@ -130,11 +132,11 @@
         while not reader.terminated:
             now_leads = log.is_leader() and await log.async_confirm(1.0) is not None
             if now_leads and not leads:
-                tell(leader=runtime.clock.now())
+                print_figures(leader=runtime.clock.now())
             leads = now_leads
             if not commands.empty():
                 await commands.get()
-                tell(load=[await async_load(runtime, log, n) for n in CALLERS])
+                print_figures(load=[await async_load(runtime, log, n) for n in CALLERS])
             await curio.sleep(0.005 if not leads else 0.05)
 
     curio.run(serve)
@@ -145,7 +147,7 @@
         await commands.put("load")
 
 
-def tell(**figures: Any) -> None:
+def print_figures(**figures: Any) -> None:
     sys.stdout.write(json.dumps(figures) + "\n")
     sys.stdout.flush()
 
@@ -206,7 +208,7 @@
         self.process.wait()
 
 
-def await_figure(replicas: dict[str, Replica], name: str, timeout: float) -> Any:
+def wait_for_figure(replicas: dict[str, Replica], name: str, timeout: float) -> Any:
     end = time.monotonic() + timeout
     while time.monotonic() < end:
         for replica in list(replicas.values()):
@@ -220,15 +222,15 @@
 def measure_processes(folder: Path) -> dict[str, Any]:
     replicas = {host: Replica(host, folder) for host in HOSTS}
     try:
-        leader, _ = await_figure(replicas, "leader", 15)
+        leader, _ = wait_for_figure(replicas, "leader", 15)
         replicas[leader].process.stdin.write("load\n")
         replicas[leader].process.stdin.flush()
-        _, load = await_figure(replicas, "load", 10 + len(CALLERS) * (SECONDS + 5))
+        _, load = wait_for_figure(replicas, "load", 10 + len(CALLERS) * (SECONDS + 5))
         without = []
         for _ in range(KILLS):
             killed_at = time.clock_gettime(time.CLOCK_BOOTTIME)
             replicas.pop(leader).kill()
-            new, led_at = await_figure(replicas, "leader", 15)
+            new, led_at = wait_for_figure(replicas, "leader", 15)
             without.append(led_at - killed_at)
             replicas[leader] = Replica(leader, folder)
             leader = new
@@ -268,12 +270,12 @@
 async def async_measure_snapshot(folder: Path, size: int) -> dict[str, Any]:
     """Let an empty learner get a snapshot over loopback."""
     folder = folder / f"snapshot-{size}"
-    first, log = await async_open("a", folder, Blob(size), ("a",), every=1050)
+    first, log = await async_open("a", folder, BlobState(size), ("a",), every=1050)
     while await log.async_confirm(1.0) is None:
         await curio.sleep(0.02)
     for _ in range(1100):
         await log.async_propose(b"x", 5.0)
-    blob = Blob()
+    blob = BlobState()
     began = time.monotonic()
     second, _ = await async_open("b", folder, blob, ("a",))
     async with curio.timeout_after(60):
--- a/bench/report.py
+++ b/bench/report.py
@@ -6,16 +6,16 @@
 
 import numpy as np
 
-from bench.cases import UNLOADED
+from bench.cases import UNLOADED_LOAD
 from bench.measures import Measures
 from bench.schedulers import POLICY
 
-AIM_TOP_TIER = 0.95
-AIM_GOODPUT = 1.3
-AIM_WASTED = 0.25
-AIM_LIGHT = 0.98
+TARGET_TOP_TIER = 0.95
+TARGET_GOODPUT = 1.3
+TARGET_WASTED = 0.25
+TARGET_LIGHT = 0.98
 LIGHT_LOAD = 0.5
-AIMED_LOADS = (1.5, 3.0)
+TARGET_LOADS = (1.5, 3.0)
 GOODPUT_LOAD = 1.5
 CALM = "calm"
 
@@ -32,14 +32,14 @@
     """Median, least and greatest of the seeds."""
 
     median: float
-    least: float
-    greatest: float
+    minimum: float
+    maximum: float
 
     def text(self, digits: int = 2) -> str:
         """Return it as median and range."""
         return (
-            f"{self.median:.{digits}f} ({self.least:.{digits}f} to "
-            f"{self.greatest:.{digits}f})"
+            f"{self.median:.{digits}f} ({self.minimum:.{digits}f} to "
+            f"{self.maximum:.{digits}f})"
         )
 
 
@@ -87,7 +87,7 @@
     unloaded = {
         (cell.pool, name): spread(map(top_fraction, group)).median
         for cell, by_name in runs.items()
-        if cell.load == UNLOADED
+        if cell.load == UNLOADED_LOAD
         for name, group in by_name.items()
     }
     cells = sorted(runs, key=lambda cell: (cell.pool, cell.case, cell.load))
@@ -142,18 +142,18 @@
     return value / base
 
 
-def verdicts(comparison: Comparison) -> dict[str, bool]:
+def met_targets(comparison: Comparison) -> dict[str, bool]:
     """Return for each aim that holds in this cell whether it is met."""
     load = comparison.cell.load
     met = {}
-    if load in AIMED_LOADS:
-        met["top tier"] = comparison.top_ratio >= AIM_TOP_TIER
+    if load in TARGET_LOADS:
+        met["top tier"] = comparison.top_ratio >= TARGET_TOP_TIER
         ratio = comparison.wasted_ratio
-        met["wasted"] = ratio is None or ratio <= AIM_WASTED
+        met["wasted"] = ratio is None or ratio <= TARGET_WASTED
     if load == GOODPUT_LOAD:
-        met["goodput"] = comparison.goodput_ratio >= AIM_GOODPUT
+        met["goodput"] = comparison.goodput_ratio >= TARGET_GOODPUT
     if load == LIGHT_LOAD:
-        met["light load"] = comparison.goodput_ratio >= AIM_LIGHT
+        met["light load"] = comparison.goodput_ratio >= TARGET_LIGHT
     return met
 
 
@@ -162,12 +162,17 @@
     comparisons = compare(results)
     seeds = len({measures["seed"] for measures in results})
     lines = [f"{len(results)} runs, {seeds} seeds; median (least to greatest).", ""]
-    lines += _aims_table(comparisons)
+    lines += _targets_table(comparisons)
     for pool in dict.fromkeys(comparison.cell.pool for comparison in comparisons):
         rows = [c for c in comparisons if c.cell.pool == pool]
         lines += ["", f"### {pool}", "", *_pool_table(rows)]
     lines += ["", "### Refusals and times of the policy", "", *_tier_table(results)]
-    lines += ["", "### Cases behind the best baseline", "", *_worse(comparisons)]
+    lines += [
+        "",
+        "### Cases behind the best baseline",
+        "",
+        *_below_baseline(comparisons),
+    ]
     return "\n".join(lines) + "\n"
 
 
@@ -179,15 +184,15 @@
     return [_row(*names), _row(*("---" for _ in names))]
 
 
-def _aims_table(comparisons: list[Comparison]) -> list[str]:
+def _targets_table(comparisons: list[Comparison]) -> list[str]:
     met: dict[tuple[str, str, float], list[bool]] = defaultdict(list)
     for comparison in comparisons:
         cell = comparison.cell
-        for aim, is_met in verdicts(comparison).items():
-            met[aim, cell.pool, cell.load].append(is_met)
+        for target, is_met in met_targets(comparison).items():
+            met[target, cell.pool, cell.load].append(is_met)
     lines = _header("aim", "pool", "load", "cases met", "of")
-    for (aim, pool, load), flags in sorted(met.items()):
-        lines.append(_row(aim, pool, load, sum(flags), len(flags)))
+    for (target, pool, load), flags in sorted(met.items()):
+        lines.append(_row(target, pool, load, sum(flags), len(flags)))
     return lines
 
 
@@ -208,7 +213,7 @@
         "missed",
     )
     for item in comparisons:
-        missed = [aim for aim, is_met in verdicts(item).items() if not is_met]
+        missed = [target for target, is_met in met_targets(item).items() if not is_met]
         ratio = "-" if item.wasted_ratio is None else f"{item.wasted_ratio:.2f}"
         lines.append(
             _row(
@@ -218,8 +223,8 @@
                 f"{item.best_name} {item.best_goodput.text()}",
                 f"{item.goodput_ratio:.2f}",
                 f"{item.token_ratio:.2f}",
-                f"{item.top_ratio:.3f} ({item.top.least:.2f} to "
-                f"{item.top.greatest:.2f})",
+                f"{item.top_ratio:.3f} ({item.top.minimum:.2f} to "
+                f"{item.top.maximum:.2f})",
                 f"{item.best_top_ratio:.2f}",
                 item.wasted.text(0),
                 ratio,
@@ -283,7 +288,7 @@
     return ", ".join(f"{value:.2f}" for value in np.median(known, axis=0))
 
 
-def _worse(comparisons: list[Comparison]) -> list[str]:
+def _below_baseline(comparisons: list[Comparison]) -> list[str]:
     lines = [
         f"- {item.cell.pool}, {item.cell.case}, load {item.cell.load}: goodput "
         f"{item.goodput_ratio:.2f} of {item.best_name}"
--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -33,11 +33,11 @@
 """Names, shares of the requests, and mean seconds of an answer."""
 
 SLOTS = 9
-VERDICT_DELAY = 0.2
-TROUBLE_SECONDS = 4.0
+DECISION_DELAY = 0.2
+FAULT_SECONDS = 4.0
 ROLLBACK_SECONDS = 5.0
-BAD_ANSWERS = 50
-WEIGH_BY_NAME = {
+FAILURES_BEFORE_ROLLBACK = 50
+EVIDENCE_METHODS_BY_NAME = {
     "ratio": judgement.weigh_by_ratio,
     "mixture": judgement.weigh_by_mixture,
 }
@@ -48,35 +48,35 @@
 
     name: str
     bad: bool = False
-    fails: float = 0.0
-    slower: float = 1.0
-    since: float = 0.0
-    loaded: bool = False
+    failure_rate: float = 0.0
+    slowdown: float = 1.0
+    bad_after: float = 0.0
+    only_under_load: bool = False
     route: str = ""
-    trouble: str = ""
+    fault: str = ""
 
 
 CASES = (
     Case("good"),
-    Case("good, crashes", trouble="crash"),
-    Case("good, partial failures", trouble="grey"),
-    Case("good, slow ones", trouble="slow"),
-    Case("fails 5 %", True, fails=0.05),
-    Case("fails 20 %", True, fails=0.2),
-    Case("fails 60 %", True, fails=0.6),
-    Case("2 times slower", True, slower=2.0),
-    Case("4 times slower", True, slower=4.0),
-    Case("8 times slower", True, slower=8.0),
-    Case("fails 40 % after 3 s", True, fails=0.4, since=3.0),
-    Case("fails 40 % after 8 s", True, fails=0.4, since=8.0),
-    Case("5 times slower after 3 s", True, slower=5.0, since=3.0),
-    Case("fails 40 % under load", True, fails=0.4, loaded=True),
-    Case("fails 40 % on one route", True, fails=0.4, route="tag"),
-    Case("5 times slower on one route", True, slower=5.0, route="query"),
+    Case("good, crashes", fault="crash"),
+    Case("good, partial failures", fault="grey"),
+    Case("good, slow ones", fault="slow"),
+    Case("fails 5 %", True, failure_rate=0.05),
+    Case("fails 20 %", True, failure_rate=0.2),
+    Case("fails 60 %", True, failure_rate=0.6),
+    Case("2 times slower", True, slowdown=2.0),
+    Case("4 times slower", True, slowdown=4.0),
+    Case("8 times slower", True, slowdown=8.0),
+    Case("fails 40 % after 3 s", True, failure_rate=0.4, bad_after=3.0),
+    Case("fails 40 % after 8 s", True, failure_rate=0.4, bad_after=8.0),
+    Case("5 times slower after 3 s", True, slowdown=5.0, bad_after=3.0),
+    Case("fails 40 % under load", True, failure_rate=0.4, only_under_load=True),
+    Case("fails 40 % on one route", True, failure_rate=0.4, route="tag"),
+    Case("5 times slower on one route", True, slowdown=5.0, route="query"),
 )
 
 
-class Played(NamedTuple):
+class RolloutResult(NamedTuple):
     """What became of one rollout; after_50th is in seconds, 0 without so many."""
 
     phase: str
@@ -87,7 +87,7 @@
     after_50th: float
 
 
-class Play:
+class RolloutSimulation:
     """One rollout over one owner."""
 
     def __init__(
@@ -96,7 +96,7 @@
         self.case = case
         self.rate = rate
         self.duration = duration
-        self.weigh = WEIGH_BY_NAME[weigh]
+        self.weigh = EVIDENCE_METHODS_BY_NAME[weigh]
         self.rng = random.Random(f"{case.name}/{rate}/{duration}/{seed}")
         engines = max(3, math.ceil(rate * 1.0 / SLOTS / 0.7))
         self.speed_by_name = {
@@ -108,12 +108,12 @@
         self.new = [f"new{number}" for number in range(engines)]
         self.canaries = self.new[:CANARIES]
         self.running_by_name = dict.fromkeys(self.speed_by_name, 0)
-        self.troubled = {
+        self.faulty_upstreams = {
             name
             for name in self.speed_by_name
-            if case.trouble and self.rng.random() < 0.15
+            if case.fault and self.rng.random() < 0.15
         }
-        self.trouble_at = self.rng.uniform(0, 0.7 * duration)
+        self.fault_at = self.rng.uniform(0, 0.7 * duration)
         self.trial = Trial(1)
         self.trial.began = 0.0
         self.counts_by_cell: dict[Cell, Counts] = {}
@@ -122,25 +122,25 @@
         self.phase = Phase.JUDGED
         self.ended_at = math.inf
         self.pending: tuple[float, Phase] | None = None
-        self.bad_answers: list[float] = []
+        self.failed_at: list[float] = []
         self.last_sent = 0.0
-        self.ends: list[tuple[float, int, str, bool, float, float]] = []
+        self.pending_ends: list[tuple[float, int, str, bool, float, float]] = []
         self.numbers = itertools.count()
         self.reached = 0
         self.all_sent: list[tuple[float, int, str, bool, float, float]] = []
 
-    def play(self) -> Played:
+    def run(self) -> RolloutResult:
         """Play it to its time limit."""
         now = 0.0
         next_report = 0.0
         while now < self.duration:
             now += self.rng.expovariate(self.rate)
             while next_report <= now and next_report < self.duration:
-                self._end_until(next_report)
+                self._process_ends(next_report)
                 self._apply(next_report)
                 self._report(next_report)
                 next_report += REPORT_PERIOD
-            self._end_until(now)
+            self._process_ends(now)
             self._apply(now)
             if now < self.duration:
                 self._request(now)
@@ -151,8 +151,8 @@
                 name.startswith("old") and sent + seconds > self.ended_at
                 for _, _, name, _, seconds, sent in self.all_sent
             )
-        fiftieth = self.bad_answers[BAD_ANSWERS - 1 :][:1]
-        return Played(
+        fiftieth = self.failed_at[FAILURES_BEFORE_ROLLBACK - 1 :][:1]
+        return RolloutResult(
             phase=self.phase,
             in_time=self.ended_at <= self.duration,
             exposed=self.trial.exposed,
@@ -190,14 +190,14 @@
             return
         step = next_step(progress, self.weigh)
         if step is not None:
-            self.pending = (now + VERDICT_DELAY, step.phase)
+            self.pending = (now + DECISION_DELAY, step.phase)
 
     def _request(self, now: float) -> None:
         self.reached += 1
         draw = self.rng.random()
-        route, mean = _drawn(draw)
+        route, mean = _route_of_draw(draw)
         self.trial.note_reached(route)
-        name = self._choose(route, now)
+        name = self._pick(route, now)
         is_new = name.startswith("new")
         number = next(self.numbers)
         if is_new:
@@ -206,29 +206,29 @@
         self.running_by_name[name] += 1
         failed, seconds = self._run(name, route, mean, now)
         sent = (now + seconds, number, name, failed, seconds, now)
-        heapq.heappush(self.ends, sent)
+        heapq.heappush(self.pending_ends, sent)
         self.all_sent.append(sent)
 
-    def _choose(self, route: str, now: float) -> str:
+    def _pick(self, route: str, now: float) -> str:
         if self.phase is Phase.COMPLETE:
             return min(self.new, key=self.running_by_name.__getitem__)
         judged = self.phase.under_way and self.allowance > 0
         if judged and self.trial.is_due(route):
-            canaries = self._up(self.canaries, now)
+            canaries = self._available(self.canaries, now)
             if canaries:
                 self.allowance -= 1
                 return min(canaries, key=self.running_by_name.__getitem__)
-        old = self._up(self.old, now) or self.old
+        old = self._available(self.old, now) or self.old
         return min(old, key=self.running_by_name.__getitem__)
 
-    def _up(self, names: list[str], now: float) -> list[str]:
+    def _available(self, names: list[str], now: float) -> list[str]:
         """Return the upstreams that have not crashed."""
-        if self.case.trouble != "crash" or not self._in_trouble(now):
+        if self.case.fault != "crash" or not self._is_fault_active(now):
             return names
-        return [name for name in names if name not in self.troubled]
+        return [name for name in names if name not in self.faulty_upstreams]
 
-    def _in_trouble(self, now: float) -> bool:
-        return 0 <= now - self.trouble_at < TROUBLE_SECONDS
+    def _is_fault_active(self, now: float) -> bool:
+        return 0 <= now - self.fault_at < FAULT_SECONDS
 
     def _run(
         self, name: str, route: str, mean: float, now: float
@@ -238,35 +238,39 @@
         load = self.running_by_name[name] / SLOTS
         size = self.rng.lognormvariate(-0.125, 0.5)
         seconds = mean * size * self.speed_by_name[name] * (0.7 + 0.6 * load)
-        fails = 0.002
-        if name in self.troubled and self._in_trouble(now):
-            if case.trouble == "slow":
+        failure_rate = 0.002
+        if name in self.faulty_upstreams and self._is_fault_active(now):
+            if case.fault == "slow":
                 seconds *= 8
-            fails = 0.4 if case.trouble == "grey" else fails
-        touched = name.startswith("new") and now >= case.since
-        touched = touched and case.route in ("", route)
-        touched = touched and (not case.loaded or load >= 0.6)
-        if touched:
-            seconds *= case.slower
-            fails = max(fails, case.fails)
-        crash_in = self.trouble_at - now
-        if case.trouble == "crash" and name in self.troubled and 0 < crash_in < seconds:
+            failure_rate = 0.4 if case.fault == "grey" else failure_rate
+        is_bad = name.startswith("new") and now >= case.bad_after
+        is_bad = is_bad and case.route in ("", route)
+        is_bad = is_bad and (not case.only_under_load or load >= 0.6)
+        if is_bad:
+            seconds *= case.slowdown
+            failure_rate = max(failure_rate, case.failure_rate)
+        crash_in = self.fault_at - now
+        if (
+            case.fault == "crash"
+            and name in self.faulty_upstreams
+            and 0 < crash_in < seconds
+        ):
             return True, crash_in
-        if self.rng.random() < fails:
+        if self.rng.random() < failure_rate:
             return True, seconds * self.rng.random()
         return False, seconds
 
-    def _end_until(self, now: float) -> None:
-        while self.ends and self.ends[0][0] <= now:
-            at, number, name, failed, seconds, _ = heapq.heappop(self.ends)
+    def _process_ends(self, now: float) -> None:
+        while self.pending_ends and self.pending_ends[0][0] <= now:
+            at, number, name, failed, seconds, _ = heapq.heappop(self.pending_ends)
             self.running_by_name[name] -= 1
             if failed and name.startswith("new"):
-                self.bad_answers.append(at)
+                self.failed_at.append(at)
             first = 0.3 * seconds
             self.trial.note_end(str(number), failed, first, seconds)
 
 
-def _drawn(draw: float) -> tuple[str, float]:
+def _route_of_draw(draw: float) -> tuple[str, float]:
     """Return the route of a draw from 0 to 1, and its mean seconds."""
     for route, part, mean in ROUTES[:-1]:
         draw -= part
@@ -276,25 +280,27 @@
     return route, mean
 
 
-def play_one(case: Case, rate: float, duration: float, weigh: str, seed: int) -> Played:
+def simulate(
+    case: Case, rate: float, duration: float, weigh: str, seed: int
+) -> RolloutResult:
     """Play one rollout."""
-    return Play(case, rate, duration, seed, weigh).play()
+    return RolloutSimulation(case, rate, duration, seed, weigh).run()
 
 
-def summary(case: Case, played: list[Played]) -> dict[str, float | str]:
+def summary(case: Case, results: list[RolloutResult]) -> dict[str, float | str]:
     """Return a row of the table."""
-    count = len(played)
+    count = len(results)
     wanted = Phase.REVERTED if case.bad else Phase.COMPLETE
-    kept = [item for item in played if not case.bad or item.exposed <= item.allowed]
-    late = [item for item in played if case.bad and item.after_50th > ROLLBACK_SECONDS]
+    kept = [item for item in results if not case.bad or item.exposed <= item.allowed]
+    late = [item for item in results if case.bad and item.after_50th > ROLLBACK_SECONDS]
     return {
         "case": case.name,
-        "right": sum(item.phase == wanted and item.in_time for item in played) / count,
+        "right": sum(item.phase == wanted and item.in_time for item in results) / count,
         "exposure_kept": len(kept) / count,
-        "most_of_allowed": max(item.exposed / item.allowed for item in played),
+        "most_of_allowed": max(item.exposed / item.allowed for item in results),
         "late_rollbacks": len(late) / count,
-        "reverted": sum(item.phase == Phase.REVERTED for item in played) / count,
-        "cut": sum(item.cut for item in played) / count,
+        "reverted": sum(item.phase == Phase.REVERTED for item in results) / count,
+        "cut": sum(item.cut for item in results) / count,
     }
 
 
@@ -304,17 +310,21 @@
     parser.add_argument("--plays", type=int, default=1000)
     parser.add_argument("--rate", type=float, default=30.0, help="requests a second")
     parser.add_argument("--duration", type=float, default=12.0, help="seconds")
-    parser.add_argument("--weigh", choices=sorted(WEIGH_BY_NAME), default="mixture")
+    parser.add_argument(
+        "--weigh", choices=sorted(EVIDENCE_METHODS_BY_NAME), default="mixture"
+    )
     parser.add_argument("--case", default="", help="only cases whose names hold this")
     parser.add_argument("--jobs", type=int, default=2)
-    given = parser.parse_args()
-    with ProcessPoolExecutor(given.jobs) as pool:
+    options = parser.parse_args()
+    with ProcessPoolExecutor(options.jobs) as pool:
         for case in CASES:
-            if given.case not in case.name:
+            if options.case not in case.name:
                 continue
-            play = partial(play_one, case, given.rate, given.duration, given.weigh)
-            played = list(pool.map(play, range(given.plays), chunksize=25))
-            print(json.dumps(summary(case, played)), flush=True)
+            simulate_seed = partial(
+                simulate, case, options.rate, options.duration, options.weigh
+            )
+            results = list(pool.map(simulate_seed, range(options.plays), chunksize=25))
+            print(json.dumps(summary(case, results)), flush=True)
 
 
 if __name__ == "__main__":
--- a/bench/routed/__main__.py
+++ b/bench/routed/__main__.py
@@ -13,8 +13,8 @@
 import cappa
 
 from bench.routed.load import CASES
-from bench.routed.play import play
 from bench.routed.sheets import load_sheets
+from bench.routed.simulation import simulate
 
 DEFAULT_SEEDS = 10
 DEFAULT_JOBS = 4
@@ -29,7 +29,7 @@
     "held",
 )
 COMPARED = ("worth", "worst_windows", "worst_kind", "in_time", "largest", "held")
-SHOWN_BY = 2.26
+T_CRITICAL_95 = 2.26
 """Standard errors beyond which a mean of ten pairs is shown at 95 in 100."""
 
 
@@ -55,11 +55,11 @@
         seeds = range(self.first, self.first + self.seeds)
         runs = list(product(sheets, cases, seeds))
         with ProcessPoolExecutor(self.jobs) as pool:
-            futures = [pool.submit(play, *run, changes) for run in runs]
-            found = [future.result()._asdict() for future in futures]
+            futures = [pool.submit(simulate, *run, changes) for run in runs]
+            scores = [future.result()._asdict() for future in futures]
         results = [
             {"sheet": sheet, "case": case, "seed": seed, **figures}
-            for (sheet, case, seed), figures in zip(runs, found, strict=True)
+            for (sheet, case, seed), figures in zip(runs, scores, strict=True)
         ]
         self.out.write_text(json.dumps(results))
         sys.stdout.write(_table(results))
@@ -70,7 +70,7 @@
     return name, json.loads(value)
 
 
-def _cells(results: list[dict]) -> dict[tuple[str, str], dict[int, dict]]:
+def _group_by_cell(results: list[dict]) -> dict[tuple[str, str], dict[int, dict]]:
     cells: dict[tuple[str, str], dict[int, dict]] = {}
     for item in results:
         cells.setdefault((item["sheet"], item["case"]), {})[item["seed"]] = item
@@ -82,7 +82,7 @@
         "| sheet | case | " + " | ".join(FIGURES) + " |",
         "| --- " * (2 + len(FIGURES)) + "|",
     ]
-    for (sheet, case), by_seed in _cells(results).items():
+    for (sheet, case), by_seed in _group_by_cell(results).items():
         means = [
             f"{statistics.mean(item[name] for item in by_seed.values()):.3f}"
             for name in FIGURES
@@ -100,8 +100,8 @@
 
     def __call__(self) -> None:
         """Write a row a cell: means and their standard errors; a star where shown."""
-        before = _cells(json.loads(self.before.read_text()))
-        after = _cells(json.loads(self.after.read_text()))
+        before = _group_by_cell(json.loads(self.before.read_text()))
+        after = _group_by_cell(json.loads(self.after.read_text()))
         sys.stdout.write("| sheet | case | " + " | ".join(COMPARED) + " |\n")
         for cell in before.keys() & after.keys():
             row = [_difference(before[cell], after[cell], name) for name in COMPARED]
@@ -113,7 +113,7 @@
     changes = [after[seed][name] - before[seed][name] for seed in seeds]
     mean = statistics.mean(changes)
     error = statistics.stdev(changes) / math.sqrt(len(changes))
-    star = " *" if abs(mean) > SHOWN_BY * error else ""
+    star = " *" if abs(mean) > T_CRITICAL_95 * error else ""
     return f"{mean:+.4f} ± {error:.4f}{star}"
 
 
--- a/bench/routed/callers.py
+++ b/bench/routed/entry_hosts.py
@@ -2,12 +2,12 @@
 
 from bench.entry import Attempt, EntryHosts
 from bench.events import EventLoop
-from bench.models import Ask
+from bench.models import OfferedRequest
 from bench.owner import Owner
 from bench.routed.sheets import Kind
 from bitterntiller.components.dispatch.models import WaitingRequest
 
-PATIENCE_PART = 1 / 3
+MAX_RETRY_WAIT_FRACTION = 1 / 3
 """Part of the time that a caller has left up to which it waits as it is told."""
 
 RETRIES = 1
@@ -19,9 +19,14 @@
     __slots__ = ("kind",)
 
     def __init__(
-        self, ask: Ask, tries: int, arrived: float, deadline: float, kind: Kind
+        self,
+        request: OfferedRequest,
+        retries: int,
+        arrived: float,
+        deadline: float,
+        kind: Kind,
     ) -> None:
-        super().__init__(ask, tries, arrived, deadline)
+        super().__init__(request, retries, arrived, deadline)
         self.kind = kind
 
     def waiting_request(self) -> WaitingRequest:
@@ -36,7 +41,7 @@
         )
 
 
-class Callers(EntryHosts):
+class RoutedEntryHosts(EntryHosts):
     """Entry hosts whose callers come back once, as they are told."""
 
     def __init__(
@@ -45,16 +50,16 @@
         super().__init__(loop, owner, delay, RETRIES)
         self._kinds_by_name = kinds
 
-    def arrive(self, ask: Ask, tries: int = 0) -> None:
+    def accept(self, request: OfferedRequest, retries: int = 0) -> None:
         """Take a request and register it with the owner."""
-        kind = self._kinds_by_name[ask.kind]
-        deadline = ask.at + ask.deadline
-        attempt = RoutedAttempt(ask, tries, self._loop.now(), deadline, kind)
+        kind = self._kinds_by_name[request.kind]
+        deadline = request.at + request.deadline
+        attempt = RoutedAttempt(request, retries, self._loop.now(), deadline, kind)
         self.attempts_by_id[attempt.request_id] = attempt
-        self._loop.at(deadline, self._give_up, attempt)
+        self._loop.at(deadline, self._handle_deadline, attempt)
         self._owner.send("register", attempt.waiting_request())
 
-    def _come_back(self, attempt: Attempt, retry_after: float) -> None:
+    def _retry_later(self, attempt: Attempt, retry_after: float) -> None:
         now = self._loop.now()
-        wait = min(retry_after, PATIENCE_PART * (attempt.deadline - now))
-        self._loop.at(now + wait, self.arrive, attempt.ask, attempt.tries + 1)
+        wait = min(retry_after, MAX_RETRY_WAIT_FRACTION * (attempt.deadline - now))
+        self._loop.at(now + wait, self.accept, attempt.request, attempt.retries + 1)
--- a/bench/routed/load.py
+++ b/bench/routed/load.py
@@ -6,7 +6,7 @@
 import numpy as np
 
 from bench.arrivals import make_hashes
-from bench.models import Ask
+from bench.models import OfferedRequest
 from bench.routed.sheets import Kind, Sheet
 
 MAX_PROMPT = 39_600
@@ -14,7 +14,7 @@
 """Sigma of the callers' own guess of the output, which is right at the median."""
 
 SHARED_TOKENS = 60
-MOST_EVENTS = 10
+MAX_EVENTS_FACTOR = 10
 """Times the mean that an answer has events at most."""
 
 
@@ -29,11 +29,11 @@
 
     name: str
     load: float = 1.0
-    burst: float = 1.0
-    hot: float = 1.0
+    burst_factor: float = 1.0
+    hot_factor: float = 1.0
     burst_from: float = 6.0
     burst_until: float = 16.0
-    slow: int = 0
+    slow_engines: int = 0
     owner_lost: bool = False
     duration: float = 30.0
 
@@ -41,54 +41,56 @@
 CASES = (
     Case("calm"),
     Case("busy", load=1.4),
-    Case("burst", burst=1.9),
-    Case("hot-workspace", load=1.2, hot=8.0),
-    Case("slow-engines", load=1.1, slow=2),
+    Case("burst", burst_factor=1.9),
+    Case("hot-workspace", load=1.2, hot_factor=8.0),
+    Case("slow-engines", load=1.1, slow_engines=2),
     Case("owner-lost", load=1.1, owner_lost=True),
-    Case("flood", load=1.2, burst=4.0),
+    Case("flood", load=1.2, burst_factor=4.0),
     Case("long-overload", load=2.0),
 )
 CASES_BY_NAME = {case.name: case for case in CASES}
 
 
-def make_asks(sheet: Sheet, case: Case, seed: int) -> list[Ask]:
+def make_requests(sheet: Sheet, case: Case, seed: int) -> list[OfferedRequest]:
     """Return the requests of a run, in order of arrival."""
     rng = np.random.default_rng(seed)
-    asks: list[Ask] = []
+    requests: list[OfferedRequest] = []
     for kind in sheet.kinds:
-        asks += _of_kind(sheet, kind, case, rng)
-    asks.sort(key=lambda ask: ask.at)
-    return [ask._replace(number=number) for number, ask in enumerate(asks)]
+        requests += _requests_of_kind(sheet, kind, case, rng)
+    requests.sort(key=lambda request: request.at)
+    return [request._replace(number=number) for number, request in enumerate(requests)]
 
 
-def _of_kind(
+def _requests_of_kind(
     sheet: Sheet, kind: Kind, case: Case, rng: np.random.Generator
-) -> list[Ask]:
-    asks = []
+) -> list[OfferedRequest]:
+    requests = []
     for workspace, share in enumerate(sheet.workspace_shares):
-        hot = case.hot if workspace == 1 else 1.0
+        hot_factor = case.hot_factor if workspace == 1 else 1.0
         rate = kind.per_s * share * case.load
         times = [rng.uniform(0, case.duration, rng.poisson(rate * case.duration))]
-        extra = rate * (case.burst * hot - 1)
+        extra = rate * (case.burst_factor * hot_factor - 1)
         span = case.burst_until - case.burst_from
         if extra > 0:
             count = rng.poisson(extra * span)
             times.append(rng.uniform(case.burst_from, case.burst_until, count))
         for at in np.concatenate(times):
-            asks.append(_ask(sheet, kind, f"workspace-{workspace}", float(at), rng))
-    return asks
+            requests.append(
+                _make_request(sheet, kind, f"workspace-{workspace}", float(at), rng)
+            )
+    return requests
 
 
-def _ask(
+def _make_request(
     sheet: Sheet, kind: Kind, workspace: str, at: float, rng: np.random.Generator
-) -> Ask:
-    prompt = min(MAX_PROMPT, _sized(kind.prompt, kind.prompt_spread, rng))
-    most_events = MOST_EVENTS * int(kind.events)
-    events = min(most_events, _sized(kind.events, kind.event_spread, rng))
+) -> OfferedRequest:
+    prompt = min(MAX_PROMPT, _lognormal_size(kind.prompt, kind.prompt_spread, rng))
+    max_events = MAX_EVENTS_FACTOR * int(kind.events)
+    events = min(max_events, _lognormal_size(kind.events, kind.event_spread, rng))
     output = events * sheet.tokens_per_event
     hint = max(1, int(output * math.exp(HINT_SPREAD * rng.standard_normal())))
     subject = int(rng.integers(kind.subjects))
-    return Ask(
+    return OfferedRequest(
         number=0,
         at=at,
         workspace=workspace,
@@ -108,7 +110,7 @@
     )
 
 
-def _sized(mean: float, spread: float, rng: np.random.Generator) -> int:
+def _lognormal_size(mean: float, spread: float, rng: np.random.Generator) -> int:
     """Return a log-normal size of a mean."""
     median = mean / math.exp(spread * spread / 2)
     return max(1, int(median * math.exp(spread * rng.standard_normal())))
--- a/bench/routed/tally.py
+++ b/bench/routed/score.py
@@ -4,27 +4,27 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from bench.models import Ask
-from bench.routed.callers import RoutedAttempt
+from bench.models import OfferedRequest
+from bench.routed.entry_hosts import RoutedAttempt
 
 WINDOW_SECONDS = 2.0
 WORST_WINDOWS = 2
-LEAST_PART = 0.25
-"""Windows in which less than this part of the mean is owed don't count."""
+MIN_WINDOW_FRACTION = 0.25
+"""Windows in which less than this fraction of the mean is owed don't count."""
 
 BASE_WEIGHT = 0.3
-MOST_WEIGHT = 4.0
+MAX_WEIGHT = 4.0
 """A request counts BASE_WEIGHT, and the rest by its size over the mean of its kind."""
 
 OUTPUT_WEIGHT = 10
 """Prompt tokens that an output token counts for in the size of a request."""
 
-LARGEST_PART = 0.1
-LATE_REFUSAL = 0.125
+LARGEST_FRACTION = 0.1
+LATE_REFUSAL_FRACTION = 0.125
 """Part of its objective beyond which a refused request has waited for long."""
 
 
-class Tally(NamedTuple):
+class RunScore(NamedTuple):
     """Worth earned over worth owed, and how requests ended.
 
     Parts are between 0 and 1. refused_late are those refused after more than an eighth
@@ -48,39 +48,45 @@
     slot_seconds: dict[str, float]
 
 
-def tally(attempts: list[RoutedAttempt], duration: float) -> Tally:
+def score_run(attempts: list[RoutedAttempt], duration: float) -> RunScore:
     """Return the tally of all attempts of a run."""
-    by_ask: dict[Ask, list[RoutedAttempt]] = defaultdict(list)
+    attempts_by_request: dict[OfferedRequest, list[RoutedAttempt]] = defaultdict(list)
     for attempt in attempts:
-        by_ask[attempt.ask].append(attempt)
+        attempts_by_request[attempt.request].append(attempt)
     owed: dict[tuple[str, float | str], float] = defaultdict(float)
     earned: dict[tuple[str, float | str], float] = defaultdict(float)
     ends: dict[str, int] = defaultdict(int)
     served_by_kind: dict[str, list[tuple[int, bool]]] = defaultdict(list)
-    mean_by_kind = _mean_sizes(by_ask)
-    for ask, tries in by_ask.items():
-        end, gain = _outcome(ask, tries)
+    mean_by_kind = _mean_sizes(attempts_by_request)
+    for request, request_attempts in attempts_by_request.items():
+        end, earned_worth = _outcome(request, request_attempts)
         ends[end] += 1
-        ends["back"] += end in ("in-time", "late") and len(tries) > 1
-        ends["refused-late"] += any(_refused_late(item) for item in tries)
-        served_by_kind[ask.kind].append((_size(ask), end in ("in-time", "late")))
-        window = ask.at // WINDOW_SECONDS * WINDOW_SECONDS
-        weight = _weight(_size(ask) / mean_by_kind[ask.kind])
-        for key in (("all", ""), ("window", window), ("kind", ask.kind)):
-            owed[key] += weight * tries[0].kind.worth
-            earned[key] += weight * gain
-    count = len(by_ask)
-    sizes = {kind: _by_size(served) for kind, served in served_by_kind.items()}
+        ends["back"] += end in ("in-time", "late") and len(request_attempts) > 1
+        ends["refused-late"] += any(_refused_late(item) for item in request_attempts)
+        served_by_kind[request.kind].append(
+            (_size(request), end in ("in-time", "late"))
+        )
+        window = request.at // WINDOW_SECONDS * WINDOW_SECONDS
+        weight = _weight(_size(request) / mean_by_kind[request.kind])
+        for key in (("all", ""), ("window", window), ("kind", request.kind)):
+            owed[key] += weight * request_attempts[0].kind.worth
+            earned[key] += weight * earned_worth
+    count = len(attempts_by_request)
+    sizes = {kind: _served_fractions(served) for kind, served in served_by_kind.items()}
     windows = duration / WINDOW_SECONDS
-    least = LEAST_PART * owed["all", ""] / windows
-    parts = {key: earned[key] / value for key, value in owed.items()}
-    shares = sorted(
-        part for key, part in parts.items() if key[0] == "window" and owed[key] > least
+    min_owed = MIN_WINDOW_FRACTION * owed["all", ""] / windows
+    earned_fractions = {key: earned[key] / value for key, value in owed.items()}
+    window_fractions = sorted(
+        fraction
+        for key, fraction in earned_fractions.items()
+        if key[0] == "window" and owed[key] > min_owed
     )
-    return Tally(
-        worth=parts["all", ""],
-        worst_windows=sum(shares[:WORST_WINDOWS]) / WORST_WINDOWS,
-        worst_kind=min(part for key, part in parts.items() if key[0] == "kind"),
+    return RunScore(
+        worth=earned_fractions["all", ""],
+        worst_windows=sum(window_fractions[:WORST_WINDOWS]) / WORST_WINDOWS,
+        worst_kind=min(
+            fraction for key, fraction in earned_fractions.items() if key[0] == "kind"
+        ),
         in_time=ends["in-time"] / count,
         late=ends["late"] / count,
         refused=ends["refused"] / count,
@@ -88,54 +94,56 @@
         back_served=ends["back"] / count,
         sizes=sizes,
         largest=min(tenth / all_ if all_ else 1.0 for tenth, all_ in sizes.values()),
-        held=_held(attempts),
+        held=_mean_refusal_wait(attempts),
         slot_seconds=_slot_seconds(attempts),
     )
 
 
-def _by_size(served: list[tuple[int, bool]]) -> tuple[float, float]:
+def _served_fractions(served: list[tuple[int, bool]]) -> tuple[float, float]:
     """Return the shares served of the largest tenth and of all."""
     by_size = [done for _, done in sorted(served)]
-    tenth = by_size[-max(1, int(LARGEST_PART * len(by_size))) :]
+    tenth = by_size[-max(1, int(LARGEST_FRACTION * len(by_size))) :]
     return sum(tenth) / len(tenth), sum(by_size) / len(by_size)
 
 
-def _held(attempts: list[RoutedAttempt]) -> float:
+def _mean_refusal_wait(attempts: list[RoutedAttempt]) -> float:
     waits = [a.ended - a.arrived for a in attempts if a.outcome == "refused"]
     return sum(waits) / len(waits) if waits else 0.0
 
 
-def _size(ask: Ask) -> int:
+def _size(request: OfferedRequest) -> int:
     """Return what a request asks for, from the tokens that it states."""
-    return ask.prompt + OUTPUT_WEIGHT * ask.output_estimate
+    return request.prompt + OUTPUT_WEIGHT * request.output_estimate
 
 
-def _mean_sizes(asks: Iterable[Ask]) -> dict[str, float]:
+def _mean_sizes(requests: Iterable[OfferedRequest]) -> dict[str, float]:
     sizes_by_kind: dict[str, list[int]] = defaultdict(list)
-    for ask in asks:
-        sizes_by_kind[ask.kind].append(_size(ask))
+    for request in requests:
+        sizes_by_kind[request.kind].append(_size(request))
     return {kind: sum(sizes) / len(sizes) for kind, sizes in sizes_by_kind.items()}
 
 
 def _weight(size: float) -> float:
     """Return what a request counts, by its size beside the mean of its kind."""
-    return min(MOST_WEIGHT, BASE_WEIGHT + (1 - BASE_WEIGHT) * size)
+    return min(MAX_WEIGHT, BASE_WEIGHT + (1 - BASE_WEIGHT) * size)
 
 
-def _outcome(ask: Ask, tries: list[RoutedAttempt]) -> tuple[str, float]:
-    kind = tries[0].kind
-    for attempt in tries:
+def _outcome(
+    request: OfferedRequest, request_attempts: list[RoutedAttempt]
+) -> tuple[str, float]:
+    kind = request_attempts[0].kind
+    for attempt in request_attempts:
         if attempt.outcome != "useful":
             continue
-        if attempt.first_token - ask.at <= kind.objective:
+        if attempt.first_token - request.at <= kind.objective:
             return "in-time", kind.worth
         return "late", kind.late
-    return ("refused" if tries[-1].outcome == "refused" else "lost"), 0.0
+    return ("refused" if request_attempts[-1].outcome == "refused" else "lost"), 0.0
 
 
 def _refused_late(attempt: RoutedAttempt) -> bool:
     waited = (attempt.ended or 0.0) - attempt.arrived
-    late = waited > LATE_REFUSAL * attempt.kind.objective
+    late = waited > LATE_REFUSAL_FRACTION * attempt.kind.objective
     return attempt.outcome == "refused" and late
 
 
@@ -144,9 +152,9 @@
     for attempt in attempts:
         if attempt.granted is None or attempt.ended is None:
             continue
-        late = (attempt.first_token or attempt.ended) - attempt.ask.at
+        late = (attempt.first_token or attempt.ended) - attempt.request.at
         end = "in time" if late <= attempt.kind.objective else "late"
         if attempt.outcome != "useful":
             end = "in vain"
-        seconds[f"{attempt.ask.kind} {end}"] += attempt.ended - attempt.granted
+        seconds[f"{attempt.request.kind} {end}"] += attempt.ended - attempt.granted
     return dict(seconds)
--- a/bench/setup.py
+++ b/bench/setup.py
@@ -14,7 +14,7 @@
 POLL_S = 0.05
 
 
-class Sizes(NamedTuple):
+class ProcessCounts(NamedTuple):
     """How many processes of each kind; host a has all roles and no chaos."""
 
     engines: int = 1
@@ -25,7 +25,7 @@
     token_ms: float = 5.0
 
 
-def start_deployment(deployment: Deployment, sizes: Sizes) -> None:
+def start_deployment(deployment: Deployment, sizes: ProcessCounts) -> None:
     """Start all processes and wait until each host takes work."""
     deployment.add_host("a", {"roles": "entry,dispatch,control"}, False)
     for number in range(sizes.entry_only):
@@ -60,7 +60,7 @@
         time.sleep(POLL_S)
 
 
-def chat(name: str, tokens: int, **fields: object) -> Request:
+def chat_request(name: str, tokens: int, **fields: object) -> Request:
     """Return a streamed request that no other equals."""
     target = "/v1/chat/completions"
     body = builders.request_body(target, name, tokens, stream=True, **fields)
--- a/bench/system.py
+++ b/bench/system.py
@@ -19,11 +19,11 @@
 import cappa
 import curio
 
-from bench.chaos import Chaos, describe
+from bench.chaos import Chaos, describe_result
 from bench.client import Request, Result, async_each, async_request
 from bench.setup import (
-    Sizes,
-    chat,
+    ProcessCounts,
+    chat_request,
     cpu_seconds,
     quantiles,
     resident_kb,
@@ -33,7 +33,7 @@
 from tests.scenarios.deployment import Deployment
 
 TIMEOUT_S = 120.0
-NEED_TOKENS_S = 4400
+REQUIRED_TOKENS_S = 4400
 STREAMS = 254
 HELD_STREAMS = 1000
 
@@ -47,7 +47,9 @@
 
     def run(self, deployment: Deployment) -> dict[str, Any]:
         """Send each kind in turn, one at a time, so that noise hits all alike."""
-        start_deployment(deployment, Sizes(engines=1, entry_only=1, token_ms=1.0))
+        start_deployment(
+            deployment, ProcessCounts(engines=1, entry_only=1, token_ms=1.0)
+        )
         ports_by_way = {
             "direct": deployment.upstreams_by_name["e0"].port,
             "one_host": deployment.hosts_by_name["a"].ports["caller"],
@@ -58,7 +60,7 @@
         async def async_all() -> None:
             for number in range(self.count + 50):
                 for way, port in ports_by_way.items():
-                    request = chat(f"{way}-{number}", tokens=3)
+                    request = chat_request(f"{way}-{number}", tokens=3)
                     result = await async_request(port, request, TIMEOUT_S)
                     assert result.status == 200 and not result.cut, result
                     if number >= 50:
@@ -82,17 +84,19 @@
 
     seconds: Annotated[float, cappa.Arg(long=True)] = 15.0
     streams: Annotated[int, cappa.Arg(long=True)] = STREAMS
-    tokens_s: Annotated[float, cappa.Arg(long=True)] = NEED_TOKENS_S
+    tokens_s: Annotated[float, cappa.Arg(long=True)] = REQUIRED_TOKENS_S
     """Tokens a second over all streams that the engines make."""
 
     def run(self, deployment: Deployment) -> dict[str, Any]:
         """Hold streams through an entry process that owns no pool."""
         token_ms = 1000 * self.streams / self.tokens_s
-        sizes = Sizes(engines=6, slots=200, entry_only=1, token_ms=token_ms)
+        sizes = ProcessCounts(engines=6, slots=200, entry_only=1, token_ms=token_ms)
         start_deployment(deployment, sizes)
         host = deployment.hosts_by_name["b0"]
         tokens = int(self.seconds * self.tokens_s / self.streams)
-        requests = [chat(f"s{number}", tokens) for number in range(self.streams)]
+        requests = [
+            chat_request(f"s{number}", tokens) for number in range(self.streams)
+        ]
         results: list[Result] = []
 
         async def async_one(request: Request) -> None:
@@ -110,8 +114,8 @@
             "chunks_s": round(chunks / wall),
             "entry_cpu": round(cpu / wall, 3),
             "chunks_per_cpu_s": round(chunks / cpu),
-            "times_need_on_one_core": round(chunks / cpu / NEED_TOKENS_S, 2),
-            "heard": Counter(describe(result) for result in results),
+            "times_need_on_one_core": round(chunks / cpu / REQUIRED_TOKENS_S, 2),
+            "heard": Counter(describe_result(result) for result in results),
         }
 
 
@@ -124,13 +128,13 @@
 
     def run(self, deployment: Deployment) -> dict[str, Any]:
         """Serve requests in tenths, then hold streams."""
-        sizes = Sizes(engines=4, slots=400, entry_only=1, token_ms=0.2)
+        sizes = ProcessCounts(engines=4, slots=400, entry_only=1, token_ms=0.2)
         start_deployment(deployment, sizes)
         host = deployment.hosts_by_name["b0"]
         pids = {name: deployment.process(name).pid for name in ("a", "b0")}
         resident: dict[str, dict[str, int]] = {}
 
-        def note(when: str) -> None:
+        def record_resident(when: str) -> None:
             resident[when] = {name: resident_kb(pid) for name, pid in pids.items()}
 
         failures = 0
@@ -140,28 +144,30 @@
             result = await async_request(host.ports["caller"], request, TIMEOUT_S)
             failures += result.status != 200 or result.cut
 
-        note("after 0")
+        record_resident("after 0")
         tenth = self.count // 10
         for part in range(10):
-            requests = (chat(f"m{part}-{n}", 10) for n in range(tenth))
+            requests = (chat_request(f"m{part}-{n}", 10) for n in range(tenth))
             curio.run(async_each, requests, 32, async_one)
-            note(f"after {(part + 1) * tenth}")
+            record_resident(f"after {(part + 1) * tenth}")
         for name in deployment.upstreams_by_name:
             deployment.set_faults(name, {"slow": 10_000.0})
-        curio.run(self._async_hold, host.ports["caller"], note)
+        curio.run(self._async_hold, host.ports["caller"], record_resident)
         return {"resident_kb": resident, "failures": failures}
 
-    async def _async_hold(self, port: int, note: Callable[[str], None]) -> None:
+    async def _async_hold(
+        self, port: int, record_resident: Callable[[str], None]
+    ) -> None:
         tasks = []
         for number in range(HELD_STREAMS):
-            request = chat(f"h{number}", 10)
+            request = chat_request(f"h{number}", 10)
             tasks.append(await curio.spawn(async_request, port, request, 30.0))
         await curio.sleep(8.0)
-        note(f"with {HELD_STREAMS} held")
+        record_resident(f"with {HELD_STREAMS} held")
         for task in tasks:
             await task.cancel()
         await curio.sleep(3.0)
-        note("after they left")
+        record_resident("after they left")
 
 
 @cappa.command(name="chaos")
@@ -175,7 +181,7 @@
 
     def run(self, deployment: Deployment) -> dict[str, Any]:
         """Count at the stand-ins what ran, and compare with what callers heard."""
-        sizes = Sizes(engines=3, plain=2, slots=32, both_roles=3, token_ms=3.0)
+        sizes = ProcessCounts(engines=3, plain=2, slots=32, both_roles=3, token_ms=3.0)
         start_deployment(deployment, sizes)
         chaos = Chaos(deployment, self.count, self.workers, self.seed)
         return chaos.run()
--- a/tests/bench/builders.py
+++ b/tests/bench/builders.py
@@ -1,12 +1,12 @@
 """Builders of what the tests of the experiments need."""
 
-from bench.engine import Job, Upstream
-from bench.models import Ask, RunSpec, UpstreamProfile
+from bench.engine import Job, UpstreamModel
+from bench.models import OfferedRequest, RunSpec, UpstreamProfile
 
 PROFILE = UpstreamProfile("one", "bole", "g2", 4, 10_000, 4_096, 1000.0, 0.02, 0.005)
 
 
-def make_ask(number=1, prompt=1000, output=101, hashes=(), shared=0, **fields):
+def make_request(number=1, prompt=1000, output=101, hashes=(), shared=0, **fields):
     values = {
         "number": number,
         "at": 0.0,
@@ -23,7 +23,7 @@
         "prefix_hashes": hashes,
         "host": 0,
     }
-    return Ask(**{**values, **fields})
+    return OfferedRequest(**{**values, **fields})
 
 
 def make_spec(**fields):
@@ -44,7 +44,7 @@
     def __init__(self, profile=PROFILE):
         self.first_by_id = {}
         self.finished_by_id = {}
-        self.upstream = Upstream(profile, self._first, self._finish, set())
+        self.upstream = UpstreamModel(profile, self._first, self._finish, set())
 
     def _first(self, job: Job, now: float):
         self.first_by_id[job.request_id] = now
--- a/tests/bench/test_arrivals.py
+++ b/tests/bench/test_arrivals.py
@@ -6,7 +6,7 @@
     BURST_SECONDS,
     arrival_times,
     capacity,
-    make_asks,
+    make_requests,
     prefix_levels,
 )
 from bench.deployments import POOLS_BY_NAME, ZAF_ENGINES
@@ -29,19 +29,21 @@
 
 
 def test_sizes_differ_a_hundredfold_and_prefixes_are_shared():
-    asks = make_asks(ZAF_ENGINES, 20.0, 200.0, False, 3)
-    sizes = [ask.prompt - ask.shared for ask in asks]
+    requests = make_requests(ZAF_ENGINES, 20.0, 200.0, False, 3)
+    sizes = [request.prompt - request.shared for request in requests]
     assert np.percentile(sizes, 98) > 100 * np.percentile(sizes, 5)
-    documents = {ask.prefix_hashes[3] for ask in asks if ask.shared == 512}
+    documents = {
+        request.prefix_hashes[3] for request in requests if request.shared == 512
+    }
     assert 1 < len(documents) < 30
 
 
 def test_prefixes_after_the_document_are_the_requests_own():
-    asks = make_asks(ZAF_ENGINES, 20.0, 200.0, False, 3)
+    requests = make_requests(ZAF_ENGINES, 20.0, 200.0, False, 3)
     tails = [
         prefix_hash
-        for ask in asks
-        for prefix_hash in ask.prefix_hashes[prefix_levels(ask.shared) :]
+        for request in requests
+        for prefix_hash in request.prefix_hashes[prefix_levels(request.shared) :]
     ]
     assert len(tails) == len(set(tails))
 
--- a/tests/bench/test_chaos.py
+++ b/tests/bench/test_chaos.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bench.chaos import faults_of
+from bench.chaos import find_faults
 from bench.client import Request, Result
 from standins import answers
 
@@ -34,7 +34,7 @@
     ],
 )
 def test_faults(heard: Result, ran: int, faults: list[str]) -> None:
-    assert faults_of(REQUEST, [heard], ran) == faults
+    assert find_faults(REQUEST, [heard], ran) == faults
 
 
 def test_short_stream_with_its_end_mark_is_seen() -> None:
@@ -47,5 +47,5 @@
     end = [b"data: [DONE]"]
     whole = b"".join(event + b"\n\n" for event in events + end)
     short = b"".join(event + b"\n\n" for event in events[:2] + end)
-    assert faults_of(request, [result(body=whole)], 1) == []
-    assert len(faults_of(request, [result(body=short)], 1)) == 1
+    assert find_faults(request, [result(body=whole)], 1) == []
+    assert len(find_faults(request, [result(body=short)], 1)) == 1
--- a/tests/bench/test_queue_sizes.py
+++ b/tests/bench/test_queue_sizes.py
@@ -21,11 +21,11 @@
 
 import pytest
 
-from bench.routed.play import play
-from bench.routed.tally import Tally
+from bench.routed.score import RunScore
+from bench.routed.simulation import simulate
 
 SEEDS = range(101, 111)
-LEAST_RATIO = 0.85
+MIN_RATIO = 0.85
 """Sizes are to be served within a tenth of each other, and ten seeds scatter by a
 twentieth."""
 
@@ -39,10 +39,10 @@
 
 
 @pytest.fixture(scope="module")
-def tallies() -> dict[tuple[str, str], list[Tally]]:
+def scores() -> dict[tuple[str, str], list[RunScore]]:
     with ProcessPoolExecutor(2) as pool:
         futures = {
-            cell: [pool.submit(play, *cell, seed, {}) for seed in SEEDS]
+            cell: [pool.submit(simulate, *cell, seed, {}) for seed in SEEDS]
             for cell in CELLS
         }
         return {cell: [item.result() for item in futures[cell]] for cell in CELLS}
@@ -50,10 +50,10 @@
 
 @pytest.mark.timeout(300)
 @pytest.mark.parametrize("cell", CELLS, ids="-".join)
-def test_largest_tenth_of_a_kind_is_served_like_the_whole_kind(tallies, cell):
+def test_largest_tenth_of_a_kind_is_served_like_the_whole_kind(scores, cell):
     """Large requests are refused or served late more often than small ones."""
-    plays = tallies[cell]
-    for kind in plays[0].sizes:
-        largest = mean(item.sizes[kind][0] for item in plays)
-        whole = mean(item.sizes[kind][1] for item in plays)
-        assert largest >= LEAST_RATIO * whole, kind
+    cell_scores = scores[cell]
+    for kind in cell_scores[0].sizes:
+        largest = mean(item.sizes[kind][0] for item in cell_scores)
+        whole = mean(item.sizes[kind][1] for item in cell_scores)
+        assert largest >= MIN_RATIO * whole, kind
--- a/tests/bench/test_run.py
+++ b/tests/bench/test_run.py
@@ -4,15 +4,15 @@
 
 from bench.arrivals import capacity
 from bench.baselines import BASELINES_BY_NAME
-from bench.engine import Upstream
-from bench.matrix import CASE_BASELINES_TAKE_IT_FOR, origin
-from bench.report import compare, report, verdicts
+from bench.engine import UpstreamModel
+from bench.matrix import EQUIVALENT_CASE_FOR_BASELINES, equivalent_spec
+from bench.report import compare, met_targets, report
 from bench.run import run, simulate
 from bench.schedulers import SCHEDULERS
 from bitterntiller.components.dispatch.models import Granted
 from tests.bench.builders import make_spec
 
-LASTING = ("useful", "gave-up-waiting", "gave-up-running", "refused")
+FINAL_OUTCOMES = ("useful", "gave-up-waiting", "gave-up-running", "refused")
 
 
 def without_time(measures):
@@ -24,18 +24,18 @@
 def test_every_request_ends_once(scheduler, case):
     hosts, _, _ = simulate(make_spec(scheduler=scheduler, case=case, load=1.5))
     outcomes = Counter(a.outcome for a in hosts.attempts_by_id.values())
-    assert set(outcomes) <= set(LASTING)
+    assert set(outcomes) <= set(FINAL_OUTCOMES)
     assert all(a.ended is not None for a in hosts.attempts_by_id.values())
     useful = [a for a in hosts.attempts_by_id.values() if a.outcome == "useful"]
-    assert len({a.ask.number for a in useful}) == len(useful) > 0
+    assert len({a.request.number for a in useful}) == len(useful) > 0
     assert all(a.ended <= a.deadline for a in useful)
 
 
 def test_nothing_is_left_in_the_upstreams():
     hosts, _, _ = simulate(make_spec(load=3.0))
-    for station in hosts.stations_by_name.values():
-        assert station.upstream.jobs_by_id == {}
-        assert station.upstream.kv_used == 0
+    for upstream in hosts.upstreams_by_name.values():
+        assert upstream.model.jobs_by_id == {}
+        assert upstream.model.kv_used == 0
 
 
 @pytest.mark.parametrize("scheduler", SCHEDULERS)
@@ -44,11 +44,11 @@
     assert without_time(run(spec)) == without_time(run(spec))
 
 
-@pytest.mark.parametrize("case", sorted(CASE_BASELINES_TAKE_IT_FOR))
+@pytest.mark.parametrize("case", sorted(EQUIVALENT_CASE_FOR_BASELINES))
 @pytest.mark.parametrize("scheduler", BASELINES_BY_NAME)
 def test_runs_that_are_not_repeated_would_give_the_same(scheduler, case):
     spec = make_spec(scheduler=scheduler, case=case, load=1.5)
-    same = {**without_time(run(origin(spec))), "case": case}
+    same = {**without_time(run(equivalent_spec(spec))), "case": case}
     assert same == without_time(run(spec))
 
 
@@ -71,13 +71,13 @@
 
 def test_slowdown_reaches_the_upstream(monkeypatch):
     speeds = []
-    original = Upstream.set_speed
+    original = UpstreamModel.set_speed
 
-    def note(upstream, speed, now):
+    def record_speed(upstream, speed, now):
         speeds.append((upstream.profile.name, speed, now))
         original(upstream, speed, now)
 
-    monkeypatch.setattr(Upstream, "set_speed", note)
+    monkeypatch.setattr(UpstreamModel, "set_speed", record_speed)
     run(make_spec(case="slow-engine"))
     assert speeds == [("bole-1", 0.2, 12.0), ("bole-1", 1.0, 28.0)]
 
@@ -139,6 +139,6 @@
         if measures["load"] == 1.5 and measures["scheduler"] != "policy"
     )
     assert heavy.best_goodput.median == best
-    assert set(verdicts(light)) == {"light load"}
-    assert set(verdicts(heavy)) == {"top tier", "wasted", "goodput"}
+    assert set(met_targets(light)) == {"light load"}
+    assert set(met_targets(heavy)) == {"top tier", "wasted", "goodput"}
     assert "### zaf-engines" in report(results)
