--- a/bench/cost.py
+++ b/bench/cost.py
@@ -44,7 +44,7 @@
         self._port = deployment.hosts_by_name["b0"].ports["caller"]
         self._idle_by_role = self._used(lambda: time.sleep(IDLE_S))
 
-    def measure(self, requests: list[Request]) -> dict[str, Any]:
+    def measure_requests(self, requests: list[Request]) -> dict[str, Any]:
         """Return the microseconds that one of the requests costs each role."""
         failures = 0
 
