--- a/bench/control_system.py
+++ b/bench/control_system.py
@@ -29,7 +29,7 @@
     wait_for,
 )
 from tests.scenarios import builders
-from tests.scenarios.operators import Load
+from tests.scenarios.load import Load
 
 
 @cappa.command(name="commits")
--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -13,18 +13,18 @@
 from functools import partial
 from typing import NamedTuple
 
-from bitterntiller.components.rollouts import judgement
+from bitterntiller.components.rollouts import canary_analysis
 from bitterntiller.components.rollouts.const import (
-    CANARIES,
-    MOST_ALLOWED,
+    CANARY_UPSTREAMS,
+    MAX_ALLOWED,
     REPORT_PERIOD,
 )
-from bitterntiller.components.rollouts.course import (
+from bitterntiller.components.rollouts.models import Cell, Counts, Phase
+from bitterntiller.components.rollouts.progression import (
     Progress,
     most_exposed,
     next_step,
 )
-from bitterntiller.components.rollouts.models import Cell, Counts, Phase
 from bitterntiller.components.rollouts.trial import Trial
 from bitterntiller.components.settings.models import RolloutBounds
 
@@ -38,8 +38,8 @@
 ROLLBACK_SECONDS = 5.0
 FAILURES_BEFORE_ROLLBACK = 50
 EVIDENCE_METHODS_BY_NAME = {
-    "ratio": judgement.weigh_by_ratio,
-    "mixture": judgement.weigh_by_mixture,
+    "ratio": canary_analysis.weigh_by_likelihood_ratio,
+    "mixture": canary_analysis.weigh_by_mixture,
 }
 
 
@@ -106,7 +106,7 @@
         }
         self.old = [f"old{number}" for number in range(engines)]
         self.new = [f"new{number}" for number in range(engines)]
-        self.canaries = self.new[:CANARIES]
+        self.canaries = self.new[:CANARY_UPSTREAMS]
         self.running_by_name = dict.fromkeys(self.speed_by_name, 0)
         self.faulty_upstreams = {
             name
@@ -115,7 +115,7 @@
         }
         self.fault_at = self.rng.uniform(0, 0.7 * duration)
         self.trial = Trial(1)
-        self.trial.began = 0.0
+        self.trial.started_at = 0.0
         self.counts_by_cell: dict[Cell, Counts] = {}
         self.allotted = 0
         self.allowance = 0
@@ -172,7 +172,7 @@
     def _report(self, now: float) -> None:
         if not self.phase.under_way:
             return
-        self.trial.tick(now)
+        self.trial.count_overdue(now)
         self.counts_by_cell.update(self.trial.take_evidence())
         progress = Progress(
             now,
@@ -181,7 +181,7 @@
             self.trial.old_running,
             self.counts_by_cell,
         )
-        wanted = MOST_ALLOWED
+        wanted = MAX_ALLOWED
         cap = most_exposed(progress, BOUNDS)
         allowed = max(0, min(wanted - self.allowance, cap - self.allotted))
         self.allowance += allowed
@@ -196,13 +196,13 @@
         self.reached += 1
         draw = self.rng.random()
         route, mean = _route_of_draw(draw)
-        self.trial.note_reached(route)
+        self.trial.record_arrival(route)
         name = self._pick(route, now)
         is_new = name.startswith("new")
         number = next(self.numbers)
         if is_new:
             self.last_sent = now
-        self.trial.note_sent(str(number), route, name if is_new else "", True, now)
+        self.trial.record_sent(str(number), route, name if is_new else "", True, now)
         self.running_by_name[name] += 1
         failed, seconds = self._run(name, route, mean, now)
         sent = (now + seconds, number, name, failed, seconds, now)
@@ -213,7 +213,7 @@
         if self.phase is Phase.COMPLETE:
             return min(self.new, key=self.running_by_name.__getitem__)
         judged = self.phase.under_way and self.allowance > 0
-        if judged and self.trial.is_due(route):
+        if judged and self.trial.is_below_route_share(route):
             canaries = self._available(self.canaries, now)
             if canaries:
                 self.allowance -= 1
@@ -267,7 +267,7 @@
             if failed and name.startswith("new"):
                 self.failed_at.append(at)
             first = 0.3 * seconds
-            self.trial.note_end(str(number), failed, first, seconds)
+            self.trial.record_end(str(number), failed, first, seconds)
 
 
 def _route_of_draw(draw: float) -> tuple[str, float]:
--- a/bitterntiller/components/entry/quota.py
+++ b/bitterntiller/components/entry/quota.py
@@ -15,7 +15,10 @@
 from typing import Any, NamedTuple
 
 from bitterntiller.components.config.models import Quota, Workspace
-from bitterntiller.components.settings.models import REPEAT_PART, QuotaWindow
+from bitterntiller.components.settings.models import (
+    RETRY_OVERDRAFT_FRACTION,
+    QuotaWindow,
+)
 from bitterntiller.core.acknowledged import AcknowledgedPositions
 from bitterntiller.core.clock import Clock
 
@@ -146,7 +149,9 @@
         level = self._level_by_workspace.get(workspace.name)
         if quota is None or level is None:
             return True
-        return level.left - amount >= -REPEAT_PART * self._window_limit(quota)
+        return level.left - amount >= -RETRY_OVERDRAFT_FRACTION * self._window_limit(
+            quota
+        )
 
     def level(self, workspace: str) -> QuotaLevel | None:
         """Return the last known level of a workspace's quota."""
@@ -192,7 +197,7 @@
         a reservation. Otherwise, after a lost reply, this host and the ledger would
         disagree on how much was lent.
         """
-        upto = self._acknowledged.upto(ledger)
+        upto = self._acknowledged.position(ledger)
         now = self._clock.now()
         used = []
         for name in list(self._sent_by_workspace):
@@ -244,7 +249,7 @@
         After a lost reply the usage is reported and counted again, which refuses
         requests but never exceeds the quota.
         """
-        self._acknowledged.note(ledger, report.upto)
+        self._acknowledged.record(ledger, report.upto)
 
     def update_level(self, workspace: str, left: float, paced: float) -> None:
         """Update the level of a quota from the reply to a reservation."""
--- a/tests/cli/builders.py
+++ b/tests/cli/builders.py
@@ -1,4 +1,4 @@
-"""Fakes of operator ports: scripted answers, and a served port in a thread."""
+"""Fakes of operator ports: scripted responses, and a port served in a thread."""
 
 import contextlib
 import socket
@@ -8,14 +8,14 @@
 import curio
 
 from bitterntiller.cli.operator_client import OperatorResponse
+from bitterntiller.components.http.buffered import async_serve_buffered
 from bitterntiller.components.http.exchange import Exchange
 from bitterntiller.components.http.server import HttpServer, ServerLimits
-from bitterntiller.components.http.whole import async_serve_whole
 from bitterntiller.components.settings.models import Address
 
 
 class ScriptedClient:
-    """Answers the calls in turn; an exception in the script is raised."""
+    """Returns scripted responses in order; exceptions in the script are raised."""
 
     def __init__(self, *script, addresses=("a:1", "b:1")):
         self.addresses = list(addresses)
@@ -38,12 +38,12 @@
 
 @contextlib.contextmanager
 def served_port(handler, metrics):
-    """Serve a RequestHandler in a thread; give its address as IP:port."""
+    """Serve a RequestHandler in a thread; yield its address as IP:port."""
     address = Address("127.0.0.1", free_port())
     stop = curio.UniversalEvent()
 
     async def async_exchange(exchange: Exchange):
-        await async_serve_whole(exchange, handler, 1 << 20, 5.0)
+        await async_serve_buffered(exchange, handler, 1 << 20, 5.0)
 
     async def async_main():
         limits = ServerLimits(32768, 10, 5.0, 5.0, 5.0)
