--- a/tests/scenarios/caller.py
+++ b/tests/scenarios/caller.py
@@ -131,9 +131,9 @@
         if not self.ended or self.cut or self.status != 200:
             return False
         if "text/event-stream" in self.answer_headers.get("content-type", ""):
-            return self.answer.endswith(b"data: [DONE]\n\n") and self._text_is_true()
+            return self.answer.endswith(b"data: [DONE]\n\n") and self._text_is_correct()
         if b'"choices"' in self.answer:
-            return self._text_is_true()
+            return self._text_is_correct()
         expected = responses.plain_response(self.method, self.target, self.body)
         return self.answer == expected
 
@@ -142,19 +142,19 @@
         """Whether the response would seem complete to a caller."""
         return self.ended and not self.cut and self.status == 200
 
-    def _text_is_true(self) -> bool:
+    def _text_is_correct(self) -> bool:
         return response_text(self.answer) == responses.engine_text(
             json.loads(self.body)
         )
 
 
-def response_text(answer: bytes) -> str:
+def response_text(response: bytes) -> str:
     """Return the generated text in the events or the JSON of an engine's response."""
-    if not answer.startswith(b"{"):
-        lines = [part for part in answer.splitlines() if part.startswith(b"data: {")]
+    if not response.startswith(b"{"):
+        lines = [part for part in response.splitlines() if part.startswith(b"data: {")]
         documents = [json.loads(part.removeprefix(b"data: ")) for part in lines]
     else:
-        documents = [json.loads(answer)]
+        documents = [json.loads(response)]
     choices: list[dict[str, Any]] = [c for d in documents for c in d["choices"]]
     return "".join(
         choice["text"]
--- a/tests/scenarios/deployment.py
+++ b/tests/scenarios/deployment.py
@@ -141,9 +141,11 @@
             return status
         match = {"If-Match": headers.get("etag", f'"{body.get("version", 0)}"')}
         key = {"Idempotency-Key": uuid.uuid4().hex}
-        answer = self.send_request(port, "PUT", "/v1/config", config, match | key)[0]
-        self.configured = self.configured or answer == 200
-        return answer
+        put_status = self.send_request(port, "PUT", "/v1/config", config, match | key)[
+            0
+        ]
+        self.configured = self.configured or put_status == 200
+        return put_status
 
     def is_ready(self, name: str) -> bool:
         """Return whether a host is ready and has a configuration once one was applied.
@@ -176,8 +178,8 @@
         fields = {"Authorization": "Bearer operator-key", **(headers or {})}
         try:
             connection.request(method, target, body, fields)
-            answer = connection.getresponse()
-            data = answer.read()
+            response = connection.getresponse()
+            data = response.read()
         except (OSError, http.client.HTTPException):
             return 0, None, {}
         finally:
@@ -186,7 +188,7 @@
             parsed = json.loads(data)
         except ValueError:
             parsed = data.decode(errors="replace")
-        return answer.status, parsed, {k.lower(): v for k, v in answer.getheaders()}
+        return response.status, parsed, {k.lower(): v for k, v in response.getheaders()}
 
     def log_tails(self) -> str:
         """Return the last lines of all logs."""
--- a/tests/scenarios/runner.py
+++ b/tests/scenarios/runner.py
@@ -196,8 +196,10 @@
             self._action_time_by_name[name] = time.time()
 
         def order_rollout() -> None:
-            answer = self._deployment.send_request(port, "POST", "/v1/rollouts", order)
-            assert answer[0] == wanted, f"status {answer[0]}: {answer[1]}"
+            response = self._deployment.send_request(
+                port, "POST", "/v1/rollouts", order
+            )
+            assert response[0] == wanted, f"status {response[0]}: {response[1]}"
 
         self._retry_for(5.0, order_rollout)
 
--- a/tests/scenarios/test_bad_input.py
+++ b/tests/scenarios/test_bad_input.py
@@ -51,7 +51,7 @@
 
 def send_bytes(port: int, data: bytes, close: bool = True) -> bytes:
     """Send bytes and return all bytes received until the host closes."""
-    answer = b""
+    response = b""
     with socket.create_connection(("127.0.0.1", port)) as sock:
         sock.settimeout(ANSWER_TIMEOUT_S)
         with contextlib.suppress(OSError):
@@ -59,13 +59,13 @@
             if close:
                 sock.shutdown(socket.SHUT_WR)
             while piece := sock.recv(65536):
-                answer += piece
-    return answer
+                response += piece
+    return response
 
 
-def statuses(answer: bytes) -> list[int]:
+def statuses(response: bytes) -> list[int]:
     """Return the status of each HTTP response in the received bytes."""
-    lines = [line for line in answer.split(b"\r\n") if line.startswith(b"HTTP/1.1 ")]
+    lines = [line for line in response.split(b"\r\n") if line.startswith(b"HTTP/1.1 ")]
     return [int(line.split()[1]) for line in lines]
 
 
@@ -179,8 +179,8 @@
     port = deployment.hosts_by_name["a"].ports[kind]
     line = b"Authorization: " + key + b"\r\n" if key else b""
     head = target + b" HTTP/1.1\r\nHost: a\r\nConnection: close\r\n" + line
-    answer = send_bytes(port, head + b"Content-Length: 2\r\n\r\n{}", close=False)
-    assert statuses(answer) == [401], answer
+    response = send_bytes(port, head + b"Content-Length: 2\r\n\r\n{}", close=False)
+    assert statuses(response) == [401], response
 
 
 def test_oversized_head_and_body(deployment: Deployment) -> None:
