--- a/bitterntiller/components/rollouts/canary_analysis.py
+++ b/bitterntiller/components/rollouts/canary_analysis.py
@@ -1,11 +1,11 @@
-"""Compares a new version with the one that serves, by what their upstreams answered.
-
-A matched comparison: both versions are counted over the same seconds and routes, under
-the same trouble. Three shares are tested, each by route and over all: of failed
-answers, of slow first outputs, and of slow whole answers, where slow is what few
-requests are on the serving version. A test
-looks at all windows that end now, so that a version that
-turns bad later is found as soon as one that is bad from the start.
+"""Sequential canary analysis: compares the candidate with the serving version.
+
+The comparison is matched: both versions are counted over the same seconds and routes,
+so that disturbances affect both. Three rates are tested, each per route and over all
+routes: failed responses, slow first outputs and slow complete responses. Slow means
+slower than most responses of the serving version. Each test evaluates all windows that
+end now, so that a version that degrades later is detected as soon as one that is bad
+from the start.
 """
 
 import math
@@ -15,49 +15,51 @@
 from bitterntiller.components.rollouts.models import Cell, Counts
 
 FALSE_POSITIVE_RATE = 1e-3
-"""Rate at which one test finds a sound version bad."""
+"""Accepted rate at which one test reverts a sound version."""
 
 MIN_FAILURE_RATE = 0.01
-"""Least share of failures that is expected of any version."""
+"""Lower bound of the failure rate that is expected of any version."""
 
 MIN_SLOW_RATE = 0.08
-"""Least share of slow answers that is expected of any version."""
+"""Lower bound of the rate of slow responses that is expected of any version."""
 
 MIN_UPSTREAMS_TO_TRIM = 3
 FAILURE_TRIM_FRACTION = 0.25
 SLOW_TRIM_FRACTION = 0.5
-"""Upstreams of the new version from which the worst ones are left out of a comparison,
-and the parts that are left out of failures and of times.
+"""Number of candidate upstreams from which the worst ones are excluded from a test, and
+the fractions excluded from the tests of failures and of times.
 
-A fault of the version shows on all of them, that of a machine on one; machines of
-unlike speed serve the same service.
+A fault of the version shows on all upstreams, a fault of a machine on one. Machines of
+different speeds serve the same service, so more are excluded from tests of times.
 """
 
 MAX_EXPECTED_RATE = 0.9
-"""Highest share that is expected of any version, and compared with another one."""
+"""Upper bound of the expected rate."""
 
 BAD_FACTOR = 3.0
 BAD_MARGIN = 0.1
-"""How many times the expected share a bad version has, and how much more at least."""
+"""The likelihood ratio assumes that a bad version has BAD_FACTOR times the expected
+rate, and at least BAD_MARGIN more."""
 
 PRIOR_TRIALS = 4.0
-"""Answers of the serving version that weigh as much as what is expected of any."""
+"""Weight of the rate expected of any version, in responses of the serving version."""
 
 ALL_ROUTES = ""
 
 
 class Proportion(NamedTuple):
-    """Some of many trials."""
+    """A number of hits out of a number of trials."""
 
     hits: int
     trials: int
 
 
 class Finding(NamedTuple):
-    """The strongest evidence against a new version.
+    """Evidence against the candidate version, found by one test.
 
-    weight is the logarithm of the odds against chance; test and route name what shows
-    it, share is the new version's and expected the serving one's.
+    weight is the weight of evidence: the logarithm of the likelihood ratio or Bayes
+    factor. test and route say where it was found. observed is the proportion on the
+    candidate version, expected the rate derived from the serving version.
     """
 
     weight: float
@@ -67,7 +69,7 @@
     expected: float
 
     def describe(self) -> str:
-        """Return the finding in words, for operators."""
+        """Return a summary for operators."""
         where = f"on route {self.route}" if self.route else "over all routes"
         hits, trials = self.observed
         return (
@@ -77,11 +79,11 @@
 
 
 WeighEvidence = Callable[[Proportion, float], float]
-"""Returns the logarithm of the odds against chance, given the expected share."""
+"""Returns the weight of evidence of a proportion, given the expected rate."""
 
 
 def weigh_by_likelihood_ratio(observed: Proportion, expected: float) -> float:
-    """Weigh by the likelihood ratio of several times the expected share (SPRT)."""
+    """Return the log likelihood ratio of a bad rate to the expected one (SPRT)."""
     bad = min(
         MAX_EXPECTED_RATE + BAD_MARGIN / 2,
         max(BAD_FACTOR * expected, expected + BAD_MARGIN),
@@ -95,10 +97,10 @@
 
 
 def weigh_by_mixture(observed: Proportion, expected: float) -> float:
-    """Weigh by the Bayes factor of any higher share against the expected one.
+    """Return the log Bayes factor of any higher rate to the expected one.
 
-    The alternative is a uniform prior over the shares above the expected one, taken at
-    a few points, so that no single size of a fault has to be assumed.
+    The alternative is a uniform prior over the rates above the expected one, evaluated
+    at a few points (mixture SPRT), so that no effect size has to be assumed.
     """
     if not observed.trials or observed.hits / observed.trials <= expected:
         return 0.0
@@ -115,13 +117,14 @@
 
 
 _MIXTURE_POINTS = (0.05, 0.1, 0.2, 0.35, 0.5, 0.7, 0.9)
-"""Parts of the way from the expected share to one, at which a mixture is evaluated."""
+"""Points of the mixture, as fractions of the interval from the expected rate to 1."""
 
 
 class RateTest(NamedTuple):
-    """One share that is compared; least is the least that is expected of any version.
+    """The test of one rate.
 
-    left_out is the part of the upstreams with the highest shares that doesn't count.
+    min_rate is the lower bound of the expected rate. trim_fraction is the fraction of
+    the upstreams with the highest rates that is excluded.
     """
 
     name: str
@@ -133,19 +136,19 @@
 RATE_TESTS = (
     RateTest(
         "failures",
-        lambda seen: Proportion(seen.failed, seen.answered),
+        lambda counts: Proportion(counts.failed, counts.answered),
         MIN_FAILURE_RATE,
         FAILURE_TRIM_FRACTION,
     ),
     RateTest(
         "slow first outputs",
-        lambda seen: Proportion(seen.slow_firsts, seen.firsts),
+        lambda counts: Proportion(counts.slow_firsts, counts.firsts),
         MIN_SLOW_RATE,
         SLOW_TRIM_FRACTION,
     ),
     RateTest(
         "slow answers",
-        lambda seen: Proportion(seen.slow_totals, seen.totals),
+        lambda counts: Proportion(counts.slow_totals, counts.totals),
         MIN_SLOW_RATE,
         SLOW_TRIM_FRACTION,
     ),
@@ -155,8 +158,8 @@
 def find_strongest(
     counts_by_cell: Mapping[Cell, Counts], weigh: WeighEvidence = weigh_by_mixture
 ) -> Finding | None:
-    """Return the strongest evidence against the new version, None without any."""
-    worst: Finding | None = None
+    """Return the strongest evidence against the candidate version, None without any."""
+    strongest: Finding | None = None
     for route in _compared_routes(counts_by_cell):
         of_route = {
             cell: counts
@@ -165,21 +168,24 @@
         }
         for test in RATE_TESTS:
             found = _strongest_of_windows(of_route, test, route, weigh)
-            if found is not None and (worst is None or found.weight > worst.weight):
-                worst = found
-    return worst
+            if found is not None and (
+                strongest is None or found.weight > strongest.weight
+            ):
+                strongest = found
+    return strongest
 
 
 def revert_threshold() -> float:
-    """Return the weight from which a version counts as bad."""
+    """Return the weight of evidence at which a version is reverted."""
     return math.log(1 / FALSE_POSITIVE_RATE)
 
 
 def count_responses(counts_by_cell: Mapping[Cell, Counts]) -> Proportion:
-    """Return the failed ones of all answers of the new version."""
-    new = [counts for cell, counts in counts_by_cell.items() if cell.upstream]
+    """Return the proportion of failed responses of the candidate version."""
+    candidate = [counts for cell, counts in counts_by_cell.items() if cell.upstream]
     return Proportion(
-        sum(counts.failed for counts in new), sum(counts.answered for counts in new)
+        sum(counts.failed for counts in candidate),
+        sum(counts.answered for counts in candidate),
     )
 
 
@@ -196,48 +202,53 @@
     route: str,
     weigh: WeighEvidence,
 ) -> Finding | None:
-    """Return the strongest evidence of any window that ends now."""
-    new_by_second: dict[int, dict[str, Proportion]] = {}
-    old_by_second: dict[int, Proportion] = {}
+    """Return the strongest evidence over all windows that end now."""
+    candidate_by_second: dict[int, dict[str, Proportion]] = {}
+    serving_by_second: dict[int, Proportion] = {}
     for cell, counts in counts_by_cell.items():
         proportion = test.proportion_of(counts)
         if not cell.upstream:
-            known = old_by_second.get(cell.second, Proportion(0, 0))
-            old_by_second[cell.second] = _sum(known, proportion)
+            known = serving_by_second.get(cell.second, Proportion(0, 0))
+            serving_by_second[cell.second] = _sum(known, proportion)
             continue
-        by_upstream = new_by_second.setdefault(cell.second, {})
+        by_upstream = candidate_by_second.setdefault(cell.second, {})
         known = by_upstream.get(cell.upstream, Proportion(0, 0))
         by_upstream[cell.upstream] = _sum(known, proportion)
-    worst: Finding | None = None
-    old = Proportion(0, 0)
+    strongest: Finding | None = None
+    serving = Proportion(0, 0)
     by_upstream: dict[str, Proportion] = {}
-    for second in sorted(new_by_second.keys() | old_by_second.keys(), reverse=True):
-        old = _sum(old, old_by_second.get(second, Proportion(0, 0)))
-        for upstream, proportion in new_by_second.get(second, {}).items():
+    for second in sorted(
+        candidate_by_second.keys() | serving_by_second.keys(), reverse=True
+    ):
+        serving = _sum(serving, serving_by_second.get(second, Proportion(0, 0)))
+        for upstream, proportion in candidate_by_second.get(second, {}).items():
             by_upstream[upstream] = _sum(
                 by_upstream.get(upstream, Proportion(0, 0)), proportion
             )
-        new = _trimmed_sum(by_upstream, test.trim_fraction)
-        if not new.trials:
+        candidate = _trimmed_sum(by_upstream, test.trim_fraction)
+        if not candidate.trials:
             continue
-        expected = _expected_rate(old, test.min_rate)
-        weight = weigh(new, expected)
-        if worst is None or weight > worst.weight:
-            worst = Finding(weight, test.name, route, new, expected)
-    return worst
+        expected = _expected_rate(serving, test.min_rate)
+        weight = weigh(candidate, expected)
+        if strongest is None or weight > strongest.weight:
+            strongest = Finding(weight, test.name, route, candidate, expected)
+    return strongest
 
 
-def _expected_rate(old: Proportion, min_rate: float) -> float:
-    """Return the share that a sound version may have, given the serving one's."""
-    rate = (old.hits + PRIOR_TRIALS * min_rate) / (old.trials + PRIOR_TRIALS)
-    error = math.sqrt(rate * (1 - rate) / (old.trials + PRIOR_TRIALS))
+def _expected_rate(serving: Proportion, min_rate: float) -> float:
+    """Return the rate that a sound version may have, given the serving version's.
+
+    It is the smoothed rate plus its standard error.
+    """
+    rate = (serving.hits + PRIOR_TRIALS * min_rate) / (serving.trials + PRIOR_TRIALS)
+    error = math.sqrt(rate * (1 - rate) / (serving.trials + PRIOR_TRIALS))
     return min(MAX_EXPECTED_RATE, max(min_rate, rate + error))
 
 
 def _trimmed_sum(
     by_upstream: Mapping[str, Proportion], trim_fraction: float
 ) -> Proportion:
-    """Sum over the upstreams, without those with the highest proportions."""
+    """Sum up the upstreams, without those with the highest rates."""
     proportions = [
         proportion for proportion in by_upstream.values() if proportion.trials
     ]
--- a/bitterntiller/components/rollouts/const.py
+++ b/bitterntiller/components/rollouts/const.py
@@ -1,10 +1,10 @@
-"""Names and bounds of the rollouts part."""
+"""Constants of rollouts."""
 
 LABEL_VERSION = "version"
-"""Label of an upstream with the version of its software."""
+"""Label of an upstream that holds its software version."""
 
 STATE_READY = "ready"
-"""What a registered upstream says that takes requests."""
+"""State announced by an upstream that accepts requests."""
 
 STATUS_ACCEPTED = "accepted"
 STATUS_CONFLICT = "conflict"
@@ -20,41 +20,42 @@
 """Bounds of a rollout's time limit."""
 
 DUPLICATE_ORDER_SECONDS = 10.0
-"""For how long after an order the same order counts as its repetition.
+"""Time after an order in which the same order counts as a duplicate of it.
 
-Later, the order of a version that was reverted starts another rollout.
+After that, an order of a reverted version starts another rollout.
 """
 
 MAX_SERVICES = 1024
-"""Services whose last rollout is kept."""
+"""Maximum number of services whose last rollout is kept."""
 
 MAX_CELLS = 20_000
-"""Cells of evidence that one rollout may keep in the log's state."""
+"""Maximum number of evidence cells per rollout and owner in the replicated state."""
 
 EVALUATION_PERIOD = 0.1
 IDLE_PERIOD = 0.5
-"""Seconds between two looks of the leader at rollouts under way, and without any."""
+"""Seconds between two evaluations by the leader, with and without active rollouts."""
 
 REPORT_PERIOD = 0.25
-"""Seconds between two reports of an owner on a rollout under way."""
+"""Seconds between two reports of an owner on an active rollout."""
 
 REPORT_TIMEOUT = 0.8
 MAX_ALLOWED = 64
-"""Requests that an owner asks to send to the new version at once, at most."""
+"""Maximum number of requests in the allowance of one owner."""
 
 ALLOWANCE_SECONDS = 1.0
-"""How long an allowance may be used, counted from the sending of the report for it.
+"""Validity of an allowance, counted from when the report that renewed it was sent.
 
-An owner without contact to control sends nothing more to the new version after that.
+After that, an owner that can't reach control stops sending to the candidate version.
 """
 
 OLD_RUNNING_MAX_AGE = 1.0
-"""An owner's count of what runs on the old version holds for so long."""
+"""Maximum age of an owner's count of the requests that run on the old version."""
 
 CANARY_UPSTREAMS = 4
-"""Upstreams of the new version that are judged; others get what has no room there."""
+"""Number of upstreams of the candidate version that get requests first; the others get
+those for which these have no capacity."""
 
 METRIC_ORDERS = "rollouts.orders"
 METRIC_VERDICTS = "rollouts.verdicts"
 METRIC_EXPOSED = "rollouts.exposed"
-"""Counters: orders by status, verdicts by phase, requests sent to a new version."""
+"""Counters: orders by status, verdicts by phase, requests sent to the candidate."""
--- a/bitterntiller/components/rollouts/diagnostics.py
+++ b/bitterntiller/components/rollouts/diagnostics.py
@@ -1,4 +1,4 @@
-"""What operators are shown of rollouts."""
+"""Diagnostics of rollouts for operators."""
 
 from typing import Any
 
@@ -23,7 +23,7 @@
 
 
 def describe_rollout(rollout: Rollout, bounds: RolloutBounds) -> dict[str, Any]:
-    """Return a rollout's state, its exposure and what speaks against the version."""
+    """Return a rollout's state, its exposure and the strongest evidence."""
     counts_by_cell = rollout.counts_by_cell()
     answered = count_responses(counts_by_cell)
     worst = find_strongest(counts_by_cell)
--- a/bitterntiller/components/rollouts/errors.py
+++ b/bitterntiller/components/rollouts/errors.py
@@ -1,9 +1,9 @@
-"""Errors of the rollouts part."""
+"""Errors of rollouts."""
 
 from bitterntiller.core.errors import CodedError
 
 
 class OrderError(CodedError):
-    """Raised for an order of a rollout that can't be carried out."""
+    """Raised for an invalid order of a rollout."""
 
     code = "bad-rollout"
--- a/bitterntiller/components/rollouts/leader.py
+++ b/bitterntiller/components/rollouts/leader.py
@@ -1,4 +1,4 @@
-"""The leader's side of rollouts: orders, reports of owners, verdicts."""
+"""Rollouts on the leader of control: orders, reports of owners and verdicts."""
 
 import json
 from collections.abc import Awaitable, Callable
@@ -38,20 +38,19 @@
 
 
 class Proposer(Protocol):
-    """Puts commands into control's log."""
+    """Proposes commands to control's replicated log."""
 
     async def async_propose(self, **content: Any) -> Any:
-        """Propose a command with a content; return how it ended."""
+        """Propose a command with this content and return its outcome."""
         ...
 
 
 class RolloutLeader:
-    """Answers as the leader of control, and judges while it leads.
+    """Handles rollout messages and evaluates rollouts while this replica leads.
 
-    cluster_ms returns the leader's time, None on a replica that doesn't lead.
-    async_confirmed tells whether a
-    quorum has confirmed the lead after the call. services returns the names of the
-    services that the newest configuration has.
+    cluster_ms returns the leader's time, None on a replica that does not lead.
+    async_confirm_leadership returns whether a quorum has confirmed the leadership after
+    the call. services returns the names of the services in the newest configuration.
     """
 
     def __init__(
@@ -75,7 +74,7 @@
         self._leader_address = leader_address
 
     async def async_start_rollout(self, _sender: str, order: Any) -> Any:
-        """Answer a messages.StartRollout; accepted only once it is committed."""
+        """Handle a messages.StartRollout; it is accepted only once it is committed."""
         if self._cluster_ms() is None:
             return self._with_leader(make_reply(STATUS_NOT_LEADER, None))
         try:
@@ -100,7 +99,7 @@
         return self._with_leader(found)
 
     def _check(self, order: Any) -> None:
-        """Raise OrderError for an order that no state of the service would allow."""
+        """Raise OrderError for an order that is invalid in any state of the service."""
         if not 0 < len(order.to) <= MAX_VERSION_LENGTH:
             raise OrderError(f"a version has 1 to {MAX_VERSION_LENGTH} characters")
         if not MIN_SECONDS <= order.duration_ms / 1000 <= MAX_SECONDS:
@@ -110,7 +109,7 @@
             raise OrderError(f"the configuration has no service {order.pool!r}")
 
     async def async_get_rollout(self, _sender: str, request: Any) -> Any:
-        """Answer a messages.GetRollout with what is newest; all for an empty pool."""
+        """Handle a messages.GetRollout; without a pool, return all rollouts."""
         if self._cluster_ms() is None or not await self._async_confirm_leadership():
             return self._with_leader(make_reply(STATUS_NOT_LEADER, None))
         if request.pool:
@@ -122,7 +121,7 @@
         return self._with_leader(found)
 
     async def async_report(self, _sender: str, report: Any) -> Any:
-        """Answer a messages.RolloutReport of an owner, with an allowance."""
+        """Handle a messages.RolloutReport of an owner; return its allowance."""
         now_ms = self._cluster_ms()
         rollout = self._state.by_service.get(report.pool)
         if now_ms is None:
@@ -149,7 +148,7 @@
         return found
 
     async def async_run(self) -> None:
-        """Judge the rollouts under way, until cancelled."""
+        """Evaluate the active rollouts until cancelled."""
         while True:
             await curio.sleep(EVALUATION_PERIOD if self._under_way() else IDLE_PERIOD)
             await self.async_evaluate()
--- a/bitterntiller/components/rollouts/models.py
+++ b/bitterntiller/components/rollouts/models.py
@@ -1,14 +1,14 @@
-"""What the parts of a rollout know and decide; times in seconds."""
+"""Data types of rollouts; times in seconds unless a name says otherwise."""
 
 from enum import StrEnum
 from typing import NamedTuple
 
 
 class Phase(StrEnum):
-    """How far a rollout is.
+    """The phase of a rollout.
 
-    JUDGED: the new version gets a bounded part of the requests. COMPLETE and REVERTED
-    are final.
+    JUDGED: the candidate version is evaluated and gets a bounded fraction of the
+    requests. COMPLETE and REVERTED are final.
     """
 
     JUDGED = "judged"
@@ -17,15 +17,15 @@
 
     @property
     def under_way(self) -> bool:
-        """Tell whether the rollout has no verdict yet."""
+        """Return whether the rollout has no verdict yet."""
         return self is Phase.JUDGED
 
 
 class Cell(NamedTuple):
-    """Names one count of evidence.
+    """Key of one evidence count.
 
-    second is that of the sending, counted from the order. upstream is empty for those
-    of the old version, which are counted together.
+    second is when the requests were sent, counted from the order. upstream is empty for
+    the upstreams of the old version, which are counted together.
     """
 
     second: int
@@ -34,10 +34,11 @@
 
 
 class Counts(NamedTuple):
-    """What has been seen in one cell.
+    """Counts of one cell.
 
-    Of answered requests failed have ended badly. Of firsts slow_firsts, and of totals
-    slow_totals, took longer than most do on the old version.
+    failed is how many of the answered requests failed. slow_firsts of the firsts (times
+    to the first output) and slow_totals of the totals (times to the complete response)
+    took longer than most on the old version.
     """
 
     answered: int = 0
@@ -48,15 +49,16 @@
     slow_totals: int = 0
 
     def plus(self, other: "Counts") -> "Counts":
-        """Return the sums."""
+        """Return the sum with other counts."""
         return Counts(*map(sum, zip(self, other, strict=True)))
 
 
 class Totals(NamedTuple):
-    """What one owner has counted since the order.
+    """Totals of one owner since the order.
 
-    reached are the requests that came for the service, exposed those sent to the new
-    version. old_running are requests that run on the old version, as told at.
+    reached is the number of requests that arrived for the service, exposed the number
+    of those sent to the candidate version. old_running is how many requests run on the
+    old version, as reported at told_ms.
     """
 
     reached: int
@@ -68,9 +70,9 @@
 class VersionRules(NamedTuple):
     """Which versions of a service's upstreams may get requests.
 
-    serving is the version in use, empty while any is. candidate is the version of a
-    rollout that is judged, served under an allowance; number names that rollout. denied
-    is the version of the last rollout that was reverted.
+    serving is the version in use, empty while all are. candidate is the version under
+    evaluation in a rollout, which gets requests within an allowance; number identifies
+    that rollout. denied is the version of the last rollout if it was reverted.
     """
 
     serving: str = ""
@@ -79,13 +81,13 @@
     number: int = 0
 
     def may_serve(self, version: str) -> bool:
-        """Tell whether a version gets requests without an allowance."""
+        """Return whether a version gets requests without an allowance."""
         if version in (self.candidate, self.denied) and version:
             return False
         return not self.serving or version == self.serving
 
     def may_run(self, version: str) -> bool:
-        """Tell whether a version may get any request."""
+        """Return whether a version may get any request."""
         is_candidate = bool(self.candidate) and version == self.candidate
         return is_candidate or self.may_serve(version)
 
--- a/bitterntiller/components/rollouts/progression.py
+++ b/bitterntiller/components/rollouts/progression.py
@@ -1,9 +1,10 @@
-"""The course of a rollout: how much the new version gets, and when it is judged.
+"""Progression of a rollout: how many requests the candidate gets, and its verdict.
 
-A version that may be bad must not get more than a bounded part of the requests until
-the time limit, whenever it turns bad. So it never gets more than that, found good or
-not, until the rollout is completed right before its time limit. What remains of the
-bound is spent in the last seconds, since the old upstreams stop at once.
+Until the time limit, a candidate version that turns out bad must not have got more than
+a bounded fraction of the requests, whenever it turns bad. So it stays within that bound
+until the rollout completes, shortly before the time limit, even if it looks good. The
+rest of the bound is used in the last seconds before completion, because the upstreams
+of the old version stop right after it and cut off the requests that run on them.
 """
 
 import math
@@ -21,43 +22,46 @@
 from bitterntiller.components.settings.models import RolloutBounds
 
 INITIAL_REQUESTS = 8
-"""Requests that the new version may get at once."""
+"""Requests that the candidate version may get at the start."""
 
 BATCHES = 5
 MIN_BATCH = 8
 MAX_BATCH = 36
-"""In how many pulses the rest of what is spread over the time is allotted, and how many
-requests one has. A pulse loads few upstreams like those of the old version."""
+"""Number of batches in which the paced requests are released, and the bounds of the
+size of a batch. A batch puts the same load on the few canary upstreams as upstreams of
+the old version have."""
 
 EVALUATION_FRACTION = 0.75
-"""Part of what may be spent until the completion that is spread over the whole time."""
+"""Fraction of the budget until completion that is paced over the whole time."""
 
 RAMP_SECONDS = 5.0
 RAMP_FRACTION = 0.35
-"""How long before the completion the rest is spent: seconds, and part of the time limit
-at most. What runs there need not end with the old upstreams."""
+"""Duration of the ramp before completion, in which the rest of the budget is used:
+seconds, and at most this fraction of the time limit. Requests that run on the candidate
+are not cut off when the old upstreams stop."""
 
 SAFETY_FRACTION = 0.95
-"""Part of the bounds that is used at all."""
+"""Fraction of the bounds that is used."""
 
 MIN_COMPLETION_MARGIN = 0.6
 COMPLETION_MARGIN_FRACTION = 0.04
-"""Time kept between completion and time limit: seconds, and part of the limit."""
+"""Minimum time between completion and time limit: seconds, and fraction of the
+limit."""
 
 BURST_FACTOR = 1.3
-"""How many times the mean rate of requests is expected between completion and limit."""
+"""Request rate assumed between completion and time limit, in mean request rates."""
 
 MIN_RESPONSES = 12
-"""Answers of the new version without which it isn't given all requests."""
+"""Responses of the candidate version without which it is reverted."""
 
 DOUBT_FRACTION = 0.7
-"""Part of the threshold from which a version is reverted at the end of its time."""
+"""Fraction of the revert threshold at which a version is reverted at completion."""
 
 
 class Progress(NamedTuple):
-    """What is known of a rollout under way; times in seconds.
+    """Progress of a rollout under evaluation; times in seconds.
 
-    old_running are requests that run on the old version, None while that isn't known.
+    old_running is the number of requests that run on the old version, None if unknown.
     """
 
     elapsed: float
@@ -68,22 +72,22 @@
 
 
 class Step(NamedTuple):
-    """The phase that follows, and why."""
+    """The next phase of a rollout, and the reason."""
 
     phase: Phase
     why: str
 
 
 def completion_time(duration: float) -> float:
-    """Return when a rollout is completed, in seconds since its order."""
+    """Return when a rollout completes, in seconds since its order."""
     return duration - max(MIN_COMPLETION_MARGIN, COMPLETION_MARGIN_FRACTION * duration)
 
 
 def most_exposed(progress: Progress, bounds: RolloutBounds) -> int:
-    """Return how many requests the new version may have got by now in all.
+    """Return how many requests in total the candidate version may have got by now.
 
-    It gets some at once and pulses of more, evenly until the completion; in the last
-    seconds, without pulses, also what was not planned for judging it.
+    It gets some at the start and then batches, evenly until completion. During the
+    ramp it continuously gets the rest of the budget too.
     """
     completion = completion_time(progress.duration)
     budget = _budget_until_completion(progress, completion, bounds)
@@ -108,29 +112,29 @@
 def _budget_until_completion(
     progress: Progress, completion: float, bounds: RolloutBounds
 ) -> float:
-    """Return the bound less what will reach the service after the completion."""
+    """Return the bound less the requests expected after completion."""
     rate = progress.reached / max(progress.elapsed, 1.0)
     reached = max(progress.reached, rate * completion)
-    rest = progress.duration - completion
-    reserved = BURST_FACTOR * rate * rest * (1 - bounds.fraction)
+    remaining = progress.duration - completion
+    reserved = BURST_FACTOR * rate * remaining * (1 - bounds.fraction)
     return SAFETY_FRACTION * (bounds.fraction * reached + bounds.tolerance) - reserved
 
 
 def next_step(
     progress: Progress, weigh: WeighEvidence = weigh_by_mixture
 ) -> Step | None:
-    """Return what a rollout goes on to, None when it stays where it is."""
-    worst = find_strongest(progress.counts_by_cell, weigh)
-    weight = worst.weight if worst is not None else 0.0
-    if worst is not None and weight >= revert_threshold():
-        return Step(Phase.REVERTED, worst.describe())
+    """Return the next step of a rollout, None while its evaluation continues."""
+    strongest = find_strongest(progress.counts_by_cell, weigh)
+    weight = strongest.weight if strongest is not None else 0.0
+    if strongest is not None and weight >= revert_threshold():
+        return Step(Phase.REVERTED, strongest.describe())
     answered = count_responses(progress.counts_by_cell).trials
     if progress.elapsed >= completion_time(progress.duration):
         if answered < MIN_RESPONSES:
             text = f"{answered} answers of {MIN_RESPONSES} within its time limit"
             return Step(Phase.REVERTED, text)
-        if worst is not None and weight >= DOUBT_FRACTION * revert_threshold():
-            return Step(Phase.REVERTED, f"in doubt at the end: {worst.describe()}")
+        if strongest is not None and weight >= DOUBT_FRACTION * revert_threshold():
+            return Step(Phase.REVERTED, f"in doubt at the end: {strongest.describe()}")
         left = "unknown" if progress.old_running is None else progress.old_running
         text = f"{answered} answers; still running on the old version: {left}"
         return Step(Phase.COMPLETE, text)
--- a/bitterntiller/components/rollouts/reporter.py
+++ b/bitterntiller/components/rollouts/reporter.py
@@ -1,4 +1,4 @@
-"""Reports to control what an owner of pools counts of the rollouts under way."""
+"""Reports a pool owner's counts of active rollouts to control."""
 
 from collections.abc import Mapping
 from typing import Any, Protocol
@@ -29,27 +29,27 @@
 
     @property
     def allowance_left(self) -> int:
-        """How many requests more may go to the version that is judged."""
+        """The number of requests that may still go to the candidate version."""
         ...
 
 
 class PoolInRollout(Protocol):
-    """A pool of which this process is the owner."""
+    """A pool that this process owns."""
 
     name: str
     rollout: PoolRollout
 
 
 class RolloutPools(Protocol):
-    """The owner of some pools."""
+    """The pools that this process owns, as the reporter needs them."""
 
     @property
     def pools_by_name(self) -> Mapping[str, Any]:
-        """The owned pools, each a TriedPool."""
+        """The owned pools, each a PoolInRollout."""
         ...
 
     async def async_wait_for_trial(self) -> None:
-        """Return once a rollout of an owned pool's service is judged."""
+        """Return once a trial of an owned pool's service has started."""
         ...
 
     async def async_renew_allowance(
@@ -59,12 +59,12 @@
         ...
 
     async def async_end_trial(self, pool: Any, number: int, complete: bool) -> None:
-        """Act by a rollout's verdict before the version rules tell of it."""
+        """Apply the verdict of a rollout before the version rules contain it."""
         ...
 
 
 class RolloutReporter:
-    """Sends the counts of each trial, and takes the allowance that comes back."""
+    """Reports the counts of each trial and applies the allowance in the reply."""
 
     def __init__(
         self, runtime: Runtime, owner: RolloutPools, control: ControlCalls
@@ -85,12 +85,12 @@
             await curio.sleep(REPORT_PERIOD)
             for pool in in_rollout:
                 trial = pool.rollout.trial
-                # Where entry hosts choose their owners, any host may own any pool.
+                # Where entry hosts pick owners themselves, any host may own any pool.
                 if trial is not None and trial.reached:
                     await self.async_report(pool, trial)
 
     async def async_report(self, pool: PoolInRollout, trial: Trial) -> None:
-        """Report one trial, and renew its allowance."""
+        """Report one trial and renew its allowance."""
         sent_at = self._clock.now()
         trial.count_overdue(sent_at)
         evidence = trial.take_evidence()
--- a/bitterntiller/components/rollouts/state.py
+++ b/bitterntiller/components/rollouts/state.py
@@ -1,7 +1,7 @@
-"""The rollouts of services; part of the replicated state.
+"""The rollouts of services; part of control's replicated state.
 
-Order, evidence, allowances and verdict are entries of control's log: they have one
-writer, survive lost hosts, and no owner of a pool begins from zero.
+Order, evidence, allowances and verdict are entries of control's log: they have a single
+writer and survive the loss of hosts, and a new pool owner does not start from zero.
 """
 
 from typing import Any
@@ -33,8 +33,8 @@
 class Rollout:
     """One rollout of a service; number is the index of its order in the log.
 
-    allotted is how many requests owners were allowed to send to the new version. why
-    tells what the verdict rests on.
+    allotted is how many requests owners were allowed to send to the candidate version.
+    why is the reason of the verdict.
     """
 
     def __init__(
@@ -54,16 +54,16 @@
 
     @property
     def reached(self) -> int:
-        """Requests that came for the service since the order."""
+        """Number of requests that arrived for the service since the order."""
         return sum(totals.reached for totals in self.totals_by_owner.values())
 
     @property
     def exposed(self) -> int:
-        """Requests that were sent to the new version."""
+        """Number of requests that were sent to the candidate version."""
         return sum(totals.exposed for totals in self.totals_by_owner.values())
 
     def old_running(self, now_ms: int) -> int | None:
-        """Return what runs on the old version, None when no owner has told of late."""
+        """Return the requests on the old version, None if not reported lately."""
         oldest = now_ms - OLD_RUNNING_MAX_AGE * 1000
         told = [
             item for item in self.totals_by_owner.values() if item.told_ms >= oldest
@@ -71,7 +71,7 @@
         return sum(item.old_running for item in told) if told else None
 
     def counts_by_cell(self) -> dict[Cell, Counts]:
-        """Return the evidence of all owners together."""
+        """Return the evidence summed over all owners."""
         found: dict[Cell, Counts] = {}
         for counts_by_cell in self.counts_by_owner.values():
             for cell, counts in counts_by_cell.items():
@@ -80,7 +80,7 @@
         return found
 
     def record(self, report: Any) -> None:
-        """Take a messages.RolloutReport; its counts replace earlier ones."""
+        """Record a messages.RolloutReport; its counts replace earlier ones."""
         self.totals_by_owner[report.owner] = Totals(
             report.reached, report.exposed, report.old_running, report.told_ms or 0
         )
@@ -91,7 +91,7 @@
                 counts_by_cell[cell] = Counts(*item.counts)
 
     def to_document(self) -> dict[str, Any]:
-        """Return the whole rollout for a snapshot."""
+        """Return the rollout for a snapshot."""
         return {
             "number": self.number,
             "service": self.service,
@@ -111,7 +111,7 @@
 
     @classmethod
     def from_document(cls, document: dict[str, Any]) -> "Rollout":
-        """Return the rollout that to_document() described."""
+        """Return the rollout in a document of to_document()."""
         made = cls(
             document["number"],
             document["service"],
@@ -134,9 +134,9 @@
 
 
 class RolloutsState:
-    """The last rollout of each service, and the versions that serve.
+    """The last rollout and the serving version of each service.
 
-    version grows with each change of the version rules.
+    version increases with each change of the version rules.
     """
 
     def __init__(self) -> None:
@@ -166,10 +166,10 @@
         return messages.VersionRulesList(version=self.version, rules=rules)
 
     def start_rollout(self, index: int, order: Any, time_ms: int) -> Any:
-        """Decide a messages.StartRollout; return a messages.RolloutReply.
+        """Apply a messages.StartRollout; return a messages.RolloutReply.
 
-        An order that is sent again hears what the first one heard: confirmations are
-        lost, and the same order must not start another rollout.
+        A repeated order gets the reply of the first one: replies can be lost, and the
+        same order must not start another rollout.
         """
         known = self.by_service.get(order.pool)
         if known is not None and known.to == order.to:
@@ -196,9 +196,10 @@
         return make_reply(STATUS_ABSENT if known is None else STATUS_OK, known)
 
     def apply_step(self, index: int, step: Any, time_ms: int) -> None:
-        """Take a messages.RolloutStep, unless the rollout has gone on meanwhile.
+        """Apply a messages.RolloutStep, unless it is outdated.
 
-        A late one of a deposed leader finds a verdict, or another rollout.
+        A delayed step of a deposed leader can arrive after the verdict of the next
+        leader, or during another rollout.
         """
         rollout = self.by_service.get(step.pool)
         if rollout is None or rollout.number != step.number:
@@ -213,10 +214,10 @@
         self.version = index
 
     def record_report(self, report: Any) -> Any:
-        """Take a messages.RolloutReport; return its messages.RolloutReportReply.
+        """Apply a messages.RolloutReport; return its messages.RolloutReportReply.
 
-        The allowance is given here and not by the leader alone: of two leaders at once
-        each would give the whole of what is left.
+        The allowance is granted here and not by the leader alone: two leaders at the
+        same time would each grant all that is left.
         """
         rollout = self.by_service.get(report.pool)
         if rollout is None or rollout.number != report.number:
@@ -233,11 +234,11 @@
     def update_serving_versions(
         self, index: int, upstreams_by_name: dict[str, Any]
     ) -> None:
-        """Settle which version serves a service, from the upstreams registered now.
+        """Update the serving versions from the upstreams registered now.
 
-        The first version that registers does, and one that nobody ordered only once no
-        upstream of the serving version is ready: a service isn't stranded when its
-        upstreams change version without an order.
+        The first version that registers serves. A version without an order serves only
+        once no upstream of the serving version is ready, so that a service is not left
+        without upstreams when they change version without an order.
         """
         ready_by_service: dict[str, set[str]] = {}
         for item in upstreams_by_name.values():
@@ -259,7 +260,7 @@
             self.version = index
 
     def to_document(self) -> dict[str, Any]:
-        """Return the whole state for a snapshot."""
+        """Return the state for a snapshot."""
         return {
             "version": self.version,
             "serving": self.serving_by_service,
@@ -267,7 +268,7 @@
         }
 
     def from_document(self, document: dict[str, Any]) -> None:
-        """Replace the state by that of a snapshot; nothing is known of an empty one."""
+        """Replace the state by that of a snapshot; an empty document clears it."""
         self.version = document.get("version", 0)
         self.serving_by_service = dict(document.get("serving", {}))
         found = [Rollout.from_document(item) for item in document.get("rollouts", [])]
@@ -275,7 +276,7 @@
 
 
 def make_reply(status: str, rollout: Rollout | None, text: str = "") -> Any:
-    """Return a messages.RolloutReply; the leader is told by whoever sends it."""
+    """Return a messages.RolloutReply; its sender fills in the leader."""
     if rollout is None:
         return messages.RolloutReply(status=status, leader="", text=text)
     return messages.RolloutReply(
--- a/tests/components/rollouts/builders.py
+++ b/tests/components/rollouts/builders.py
@@ -52,7 +52,7 @@
     seconds: int = 4,
     route: str = "r",
 ) -> dict[Cell, Counts]:
-    """Return the same counts for each second and upstream of the new version."""
+    """Return evidence with the same counts for each second and candidate upstream."""
     found = {}
     for second in range(seconds):
         found[Cell(second, route, "")] = old
--- a/tests/components/rollouts/test_canary_analysis.py
+++ b/tests/components/rollouts/test_canary_analysis.py
@@ -1,4 +1,4 @@
-"""Tests of the comparison of two versions."""
+"""Tests of the canary analysis."""
 
 import pytest
 
@@ -29,7 +29,7 @@
     assert not is_bad(evidence(SOUND, OLD))
 
 
-def test_nothing_is_found_without_answers_of_the_new_version():
+def test_no_evidence_without_responses_of_the_candidate_version():
     assert find_strongest(evidence(SOUND, OLD, upstreams=0)) is None
 
 
@@ -43,7 +43,7 @@
     ids=["failures", "slow first outputs", "slow answers"],
 )
 def test_fault_of_a_version_is_found(bad):
-    """A version that fails or is slow on all its upstreams goes on to serve."""
+    """A version that fails or is slow on all its upstreams is not reverted."""
     found = find_strongest(evidence(bad, OLD))
     assert found is not None
     assert found.weight >= revert_threshold()
@@ -51,7 +51,7 @@
 
 
 def test_fault_on_one_route_is_found():
-    """A version that fails on one route hides behind the others."""
+    """A version that fails on one route is masked by sound results on the others."""
     sound = evidence(SOUND._replace(answered=16), OLD, route="report")
     bad = evidence(SOUND._replace(answered=2, failed=1), OLD, route="tag")
     found = find_strongest(sound | bad)
@@ -60,14 +60,14 @@
     assert found.route == "tag"
 
 
-def test_route_that_fails_on_both_versions_is_no_fault():
-    """A route that has always failed in part reverts every version."""
+def test_route_that_fails_on_both_versions_is_not_evidence():
+    """A route on which some requests always fail reverts every version."""
     old = OLD._replace(failed=20)
     assert not is_bad(evidence(SOUND._replace(failed=1), old))
 
 
-def test_fault_of_one_machine_is_not_one_of_the_version():
-    """A machine that fails during a rollout reverts a sound version."""
+def test_fault_of_one_machine_is_not_evidence():
+    """A machine that fails during a rollout causes a sound version to be reverted."""
     counts_by_cell = evidence(SOUND, OLD)
     for cell in counts_by_cell:
         if cell.upstream == "n0":
@@ -75,8 +75,8 @@
     assert not is_bad(counts_by_cell)
 
 
-def test_slow_machines_are_not_a_slow_version():
-    """Two of four upstreams on slow machines revert a sound version."""
+def test_slow_machines_are_not_evidence():
+    """Two of four upstreams on slow machines cause a sound version to be reverted."""
     counts_by_cell = evidence(SOUND, OLD)
     for cell in counts_by_cell:
         if cell.upstream in ("n0", "n1"):
@@ -84,8 +84,8 @@
     assert not is_bad(counts_by_cell)
 
 
-def test_version_that_turns_bad_is_found_behind_good_answers():
-    """A version that turns bad hides behind what it answered before."""
+def test_version_that_turns_bad_is_found_after_good_responses():
+    """A version that degrades later is masked by its earlier good responses."""
     counts_by_cell = evidence(SOUND._replace(answered=40), OLD, seconds=30)
     for number in range(4):
         for second in (30, 31):
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("weigh", [weigh_by_likelihood_ratio, weigh_by_mixture])
-def test_weight_grows_with_the_share(weigh):
+def test_weight_increases_with_the_rate(weigh):
     weights = [weigh(Proportion(hits, 20), 0.05) for hits in range(2, 20)]
     assert weights == sorted(weights)
     assert weigh(Proportion(1, 20), 0.05) < 1.0
--- a/tests/components/rollouts/test_leader.py
+++ b/tests/components/rollouts/test_leader.py
@@ -1,4 +1,4 @@
-"""Tests of the leader's answers to orders and reports of rollouts."""
+"""Tests of how the leader handles orders and reports of rollouts."""
 
 import functools
 import inspect
@@ -14,7 +14,7 @@
 
 
 def with_control(test):
-    """Have a test run with a leader that has a configuration."""
+    """Run a test with a leader that has a configuration."""
 
     @functools.wraps(test)
     def run(**given):
@@ -57,7 +57,7 @@
     ],
 )
 @with_control
-async def test_order_that_can_not_be_carried_out_is_refused_with_the_reason(
+async def test_invalid_order_is_refused_with_the_reason(
     control, log, clock, fields, text
 ):
     refused = await start(control, **fields)
@@ -67,7 +67,7 @@
 
 @with_control
 async def test_order_is_accepted_once_it_is_committed(control, log, clock):
-    """An order is confirmed that control forgets with its leader."""
+    """An order is confirmed although it is lost with the leader."""
     log.quorum = False
     assert (await start(control)).status == "unknown"
     assert control.state.rollouts.find(POOL).status == "absent"
@@ -77,7 +77,7 @@
 
 @with_control
 async def test_state_is_read_only_from_a_confirmed_leader(control, log, clock):
-    """A deposed leader tells an older state than was told before."""
+    """A deposed leader returns an older state than an earlier read returned."""
     await start(control)
     assert (await get(control)).phase == "judged"
     log.quorum = False
@@ -85,7 +85,7 @@
 
 
 @with_control
-async def test_rollout_that_nobody_ordered_is_absent(control, log, clock):
+async def test_rollout_without_an_order_is_absent(control, log, clock):
     assert (await get(control)).status == "absent"
 
 
@@ -116,10 +116,8 @@
 
 
 @with_control
-async def test_next_leader_goes_on_with_the_evidence_of_the_one_before(
-    control, log, clock
-):
-    """The bad answers that one leader heard of count no more under the next."""
+async def test_next_leader_uses_the_evidence_of_the_previous_one(control, log, clock):
+    """Failures reported to one leader are not counted under the next."""
     number = (await start(control)).number
     evidence = [
         messages.EvidenceItem(
@@ -134,14 +132,14 @@
 
 
 @with_control
-async def test_elapsed_time_is_told_to_owners(control, log, clock):
+async def test_owners_get_the_elapsed_time(control, log, clock):
     number = (await start(control)).number
     clock.advance(2.5)
     assert (await tell(control, number=number)).elapsed_ms == 2500
 
 
 @with_control
-async def test_all_rollouts_are_shown_to_operators(control, log, clock):
+async def test_operators_get_all_rollouts(control, log, clock):
     await start(control)
     shown = (await get(control, "")).document
     assert b'"phase": "judged"' in shown
--- a/tests/components/rollouts/test_progression.py
+++ b/tests/components/rollouts/test_progression.py
@@ -1,4 +1,4 @@
-"""Tests of the course of a rollout."""
+"""Tests of the progression of a rollout."""
 
 import pytest
 from hypothesis import given
@@ -44,8 +44,8 @@
 
 @pytest.mark.parametrize("rate", [3, 30, 200, 600])
 @pytest.mark.parametrize("duration", [6.0, 12.0, 30.0])
-def test_bound_holds_though_a_bad_version_is_completed(rate, duration):
-    """A version that is found good and isn't gets more than its part by the limit."""
+def test_bound_holds_even_if_a_bad_version_is_completed(rate, duration):
+    """A bad version that is not detected exceeds the bound by the time limit."""
     until = completion_time(duration)
     before = most_exposed(progress(until, duration, int(rate * until)), BOUNDS)
     after = rate * (duration - until)
@@ -53,26 +53,26 @@
 
 
 @pytest.mark.parametrize("rate", [3, 30, 200])
-def test_exposure_suffices_to_judge(rate):
-    """A version can't show that it is good, as it gets hardly any requests."""
+def test_exposure_suffices_for_the_analysis(rate):
+    """The candidate gets too few requests to be found good."""
     until = completion_time(12.0)
     assert most_exposed(progress(until, 12.0, int(rate * until)), BOUNDS) >= 24
 
 
-def test_bad_version_is_reverted_at_once():
+def test_bad_version_is_reverted_immediately():
     assert next_step(progress(1.0, counts=BAD)).phase is Phase.REVERTED
 
 
-def test_good_version_is_completed_within_its_time():
+def test_good_version_is_completed_within_the_time_limit():
     assert next_step(progress(completion_time(12.0) - 0.1)) is None
     step = next_step(progress(completion_time(12.0)))
     assert step.phase is Phase.COMPLETE
     assert completion_time(12.0) < 12.0
 
 
-@pytest.mark.parametrize("counts", [{}, DOUBTFUL], ids=["no answers", "in doubt"])
-def test_version_that_has_not_shown_to_be_good_is_reverted(counts):
-    """A version of which next to nothing is known gets all requests."""
+@pytest.mark.parametrize("counts", [{}, DOUBTFUL], ids=["no responses", "in doubt"])
+def test_version_without_enough_evidence_is_reverted(counts):
+    """A version with hardly any responses gets all requests."""
     assert next_step(progress(6.0, counts=counts)) is None
     step = next_step(progress(completion_time(12.0), counts=counts))
     assert step.phase is Phase.REVERTED
--- a/tests/components/rollouts/test_state.py
+++ b/tests/components/rollouts/test_state.py
@@ -1,4 +1,4 @@
-"""Tests of the rollouts in control's log."""
+"""Tests of the rollouts in control's replicated state."""
 
 import pytest
 from hypothesis import given
@@ -17,7 +17,7 @@
 
 
 def ordered(to="v2"):
-    """Return a state in which v1 serves and a rollout is under way."""
+    """Return a state in which v1 serves and a rollout to v2 or another is active."""
     state = ControlState()
     apply(state, 1, upstreams=[registered("e1", "v1")], settle_versions=True)
     assert apply(state, 2, rollout=order(to)).rollout.status == "accepted"
@@ -28,8 +28,8 @@
     return apply(state, 9, rollout_report=report(2, **fields)).rollout_report.allowed
 
 
-def test_repeated_order_is_the_same_order():
-    """An order whose confirmation was lost starts a second rollout, or is refused."""
+def test_repeated_order_starts_no_second_rollout():
+    """A retried order whose reply was lost starts a second rollout, or is refused."""
     state = ordered()
     again = apply(state, 3, rollout=order()).rollout
     assert (again.status, again.number) == ("accepted", 2)
@@ -38,14 +38,14 @@
     assert (again.status, again.number, again.phase) == ("accepted", 2, "reverted")
 
 
-def test_version_that_was_reverted_may_be_ordered_again_later():
+def test_reverted_version_may_be_ordered_again_later():
     state = ordered()
     apply(state, 4, rollout_step=step(2, "reverted"))
     again = apply(state, 5, time_ms=REPEAT_MS + 1, rollout=order()).rollout
     assert (again.status, again.number, again.phase) == ("accepted", 5, "judged")
 
 
-def test_order_beside_another_of_the_service_is_refused():
+def test_order_during_another_rollout_of_the_service_is_refused():
     state = ordered()
     refused = apply(state, 3, rollout=order("v3")).rollout
     assert refused.status == "conflict"
@@ -59,8 +59,8 @@
     assert apply(state, 2, rollout=order("v1")).rollout.status == "invalid"
 
 
-def test_late_verdict_changes_nothing():
-    """A deposed leader's verdict undoes that of the next, or hits the next order."""
+def test_late_verdict_is_ignored():
+    """A deposed leader's verdict overrides the next one's, or hits the next order."""
     state = ordered()
     apply(state, 3, rollout_step=step(2, "complete"))
     apply(state, 4, rollout_step=step(2, "reverted"))
@@ -79,7 +79,7 @@
     ],
 )
 def test_only_allowed_versions_run(phase, serving, runs):
-    """A version that nothing allows gets requests."""
+    """A version gets requests although the version rules don't allow it."""
     state = ordered()
     if phase:
         apply(state, 3, rollout_step=step(2, phase))
@@ -90,8 +90,8 @@
     } == (runs)
 
 
-def test_version_of_an_order_that_is_not_known_yet_gets_nothing():
-    """Upstreams of a new version get requests before their rollout is ordered."""
+def test_version_without_an_order_gets_no_requests():
+    """Upstreams of a new version get requests before its rollout is ordered."""
     state = ControlState()
     apply(state, 1, upstreams=[registered("e1", "v1")], settle_versions=True)
     apply(state, 2, upstreams=[registered("e2", "v2")], settle_versions=True)
@@ -99,7 +99,7 @@
 
 
 def test_service_whose_upstreams_changed_version_without_an_order_is_served():
-    """A service is stranded beside upstreams of a version that nobody ordered."""
+    """A service is unavailable although upstreams of an unordered version are ready."""
     state = ControlState()
     apply(state, 1, upstreams=[registered("e1", "v1")], settle_versions=True)
     apply(state, 2, upstreams=[registered("e2", "v2")], settle_versions=True)
@@ -108,8 +108,8 @@
     assert state.rollouts.rules(POOL).serving == "v2"
 
 
-def test_reverted_version_does_not_serve_though_no_other_is_left():
-    """A reverted version gets requests when all upstreams of the old one crash."""
+def test_reverted_version_does_not_serve_even_if_it_is_the_only_one_left():
+    """A reverted version gets requests when all upstreams of the old version crash."""
     state = ordered()
     apply(state, 3, upstreams=[registered("e2", "v2")], settle_versions=True)
     apply(state, 4, rollout_step=step(2, "reverted"))
@@ -119,7 +119,7 @@
     assert state.rollouts.rules(POOL).may_run("v1")
 
 
-def test_any_version_serves_where_versions_are_not_ordered():
+def test_any_version_serves_without_ordered_only():
     state = ControlState()
     apply(state, 1, upstreams=[registered("e1", "v1"), registered("e2", "v2")])
     rules = state.rollouts.rules(POOL)
@@ -128,7 +128,7 @@
 
 
 def test_snapshot_keeps_orders_evidence_and_allowances():
-    """An order, or what a version was given, is forgotten with a restart."""
+    """An order or an allowance is lost in a restart."""
     state = ordered()
     item = messages.EvidenceItem(
         second=1, route="r", upstream="n1", counts=[3, 1, 0, 0, 0, 0]
@@ -156,7 +156,7 @@
     assert state.rollouts.by_service[POOL].reached == 100
 
 
-def test_report_after_the_verdict_allows_nothing():
+def test_report_after_the_verdict_gets_no_allowance():
     state = ordered()
     apply(state, 3, rollout_step=step(2, "reverted"))
     assert allowed(state, reached=1000, cap=100) == 0
--- a/tests/components/rollouts/test_trial.py
+++ b/tests/components/rollouts/test_trial.py
@@ -1,4 +1,4 @@
-"""Tests of what an owner counts of a rollout."""
+"""Tests of the trial of a candidate version at one owner."""
 
 from bitterntiller.components.rollouts.models import Cell, Counts
 from bitterntiller.components.rollouts.trial import Allowance, Trial
@@ -14,7 +14,7 @@
 
 
 def totals(trial):
-    """Return the counts by upstream, of all seconds."""
+    """Return the counts by upstream, summed over all seconds."""
     found: dict[str, Counts] = {}
     for cell, counts in trial.take_evidence().items():
         found[cell.upstream] = found.get(cell.upstream, Counts()).plus(counts)
@@ -35,7 +35,7 @@
     assert trial.take_evidence() == {Cell(3, "r", ""): Counts(3, 0, 0, 0, 0, 0)}
 
 
-def test_slow_answers_of_the_new_version_are_counted():
+def test_slow_responses_of_the_candidate_version_are_counted():
     trial = begun()
     answered_by_old(trial, 20)
     trial.record_sent("a", "r", "n1", True, T0 + 2)
@@ -45,8 +45,8 @@
     assert totals(trial)["n1"] == Counts(2, 0, 2, 1, 2, 1)
 
 
-def test_request_that_gets_no_answer_counts_as_slow_in_time():
-    """A version that hangs is judged by its fast answers only."""
+def test_overdue_request_counts_as_slow():
+    """A version that hangs is evaluated by its fast responses only."""
     trial = begun()
     answered_by_old(trial, 20)
     trial.record_sent("a", "r", "n1", True, T0 + 2)
@@ -56,8 +56,8 @@
     assert totals(trial)["n1"] == Counts(1, 1, 1, 1, 1, 1)
 
 
-def test_first_output_that_is_heard_of_late_is_not_slow():
-    """A sound version is reverted, as reports of first outputs come twice a second."""
+def test_first_output_that_is_reported_late_is_not_slow():
+    """A sound version is reverted, as first outputs are reported twice a second."""
     trial = begun()
     answered_by_old(trial, 20, seconds=0.2)
     trial.record_sent("a", "r", "n1", True, T0 + 2)
@@ -67,8 +67,8 @@
     assert totals(trial)["n1"] == Counts(1, 0, 1, 0, 1, 0)
 
 
-def test_request_sent_before_it_is_known_what_is_slow_is_not_judged():
-    """The slow ones of the first requests count, and the fast ones don't."""
+def test_request_sent_before_the_slow_threshold_is_known_is_not_counted():
+    """Of the first requests only the slow ones are counted, which biases the result."""
     trial = begun()
     trial.record_sent("a", "r", "n1", True, T0)
     answered_by_old(trial, 20)
@@ -76,8 +76,8 @@
     assert "n1" not in totals(trial)
 
 
-def test_cold_upstream_is_not_judged_by_its_times():
-    """An upstream that has just started reverts a sound version."""
+def test_times_of_a_cold_upstream_are_not_counted():
+    """Slow responses of a freshly started upstream revert a sound version."""
     trial = begun()
     answered_by_old(trial, 20)
     trial.record_sent("a", "r", "n1", False, T0 + 2)
@@ -86,7 +86,7 @@
 
 
 def test_evidence_whose_report_was_lost_is_reported_again():
-    """The bad answers of a lost report are never heard of."""
+    """Failures in a lost report are never counted."""
     trial = begun()
     answered_by_old(trial, 3)
     lost = trial.take_evidence()
@@ -96,7 +96,7 @@
 
 
 def test_report_that_fails_before_the_time_of_the_order_is_known():
-    """An owner's process stops when control has no leader at its first report."""
+    """The owner's process fails if control has no leader at its first report."""
     trial = Trial(7)
     answered_by_old(trial, 3)
     trial.requeue_evidence(trial.take_evidence())
@@ -104,8 +104,8 @@
     assert totals(trial)[""].answered == 3
 
 
-def test_each_route_gets_its_part_of_the_allowance():
-    """A fault on a rare route is never seen, as frequent routes use the allowance."""
+def test_each_route_gets_its_share_of_the_allowance():
+    """A fault on a rare route is missed, as frequent routes use up the allowance."""
     trial = begun()
     allowance = Allowance(trial)
     allowance.renew(40, T0 + 1)
@@ -120,8 +120,8 @@
     assert taken["rare"] >= 6
 
 
-def test_allowance_ends_without_contact_to_control():
-    """An owner that is cut off goes on to use the new version."""
+def test_allowance_expires_without_contact_to_control():
+    """An owner cut off from control keeps sending requests to the candidate."""
     allowance = Allowance(begun())
     allowance.renew(5, T0 + 1)
     assert allowance.take("r", T0 + 0.9)
@@ -131,7 +131,7 @@
     assert allowance.left == 4
 
 
-def test_closed_allowance_sends_nothing_more():
+def test_closed_allowance_permits_no_requests():
     allowance = Allowance(begun())
     allowance.renew(5, T0 + 1)
     allowance.close()
