--- a/bitterntiller/components/crashes/__init__.py
+++ b/bitterntiller/components/crashes/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that crash upstreams: found out, shared by all hosts, kept on disk."""
+"""Detection of requests that crash upstreams, shared by all hosts and persisted."""
 
 from bitterntiller.components.crashes.coordinator import CrashCoordinator
 from bitterntiller.components.crashes.history_file import FILE_NAME
@@ -11,9 +11,9 @@
 async def async_setup(
     runtime: Runtime, config: ConfigView, directory: DirectoryView
 ) -> CrashCoordinator:
-    """Set the part up; it is unloaded with the runtime's stack.
+    """Set up crash detection; it unloads with the runtime's stack.
 
-    directory names the owners of pools as this host uses them.
+    directory holds the owners of pools as this host uses them.
     """
     coordinator = CrashCoordinator(runtime, config, directory)
     folder = runtime.settings.data_folder
--- a/bitterntiller/components/crashes/const.py
+++ b/bitterntiller/components/crashes/const.py
@@ -1,34 +1,34 @@
-"""Constants of the crashes part: bounds, times in seconds and names of metrics."""
+"""Constants of crash detection; times in seconds."""
 
 QUARANTINE_THRESHOLD = 3
-"""Upstreams that end under a request before it is kept from all others."""
+"""Number of upstreams that crash under a request before it is quarantined."""
 
 FIRST_QUARANTINE_SECONDS = 5.0
-"""How long it is kept from upstreams first. Then one copy may run: a request that was
-on three upstreams that ended by themselves is served soon after."""
+"""First quarantine. After it one copy may run, so that a request that was on three
+upstreams when they ended for another reason is served soon."""
 
 QUARANTINE_SECONDS = 120.0
-"""Its quarantine from the next crash on; each further one doubles the time."""
+"""Quarantine after the next crash; each further crash doubles it."""
 
 MAX_QUARANTINE_SECONDS = 3600.0
 RETENTION_SECONDS = 2 * MAX_QUARANTINE_SECONDS
-"""How long a crash is remembered."""
+"""Time for which a crash is stored."""
 
 MAX_REQUESTS = 4096
-"""Requests that are remembered; the one that has crashed the fewest goes first."""
+"""Maximum number of stored requests; those with fewest crashes are evicted first."""
 
 PROBE_INTERVAL = 0.25
-"""Between two refused connections that show that an upstream has ended. One alone may
-come of a listening queue that was full for a moment."""
+"""Time between the two refused connections that prove that an upstream has ended. A
+single refusal can be due to a full listen backlog."""
 
 PROBE_TIMEOUT = 0.5
 REPORT_TIMEOUT = 1.0
 REPORT_RETRY_DELAY = 0.3
 SYNC_PERIOD = 10.0
-"""Between two exchanges with an owner when there is nothing to tell it."""
+"""Time between two exchanges with an owner when there is nothing new."""
 
 OWNER_CHECK_PERIOD = 1.0
-"""Between two looks whether a pool has another owner."""
+"""Time between two checks whether a pool has a new owner."""
 
 MIN_SAVE_INTERVAL = 0.2
 SAVE_RETRY_DELAY = 2.0
--- a/bitterntiller/components/crashes/coordinator.py
+++ b/bitterntiller/components/crashes/coordinator.py
@@ -1,8 +1,9 @@
-"""Finds out which requests crash upstreams, and shares it with all hosts.
+"""Detects which requests crash upstreams, and shares the history with all hosts.
 
-A host that finds out tells the owners of all pools; an owner tells all hosts. So any
-host that becomes an owner knows what was found before. Each host also exchanges what it
-knows with the owners from time to time, and at once with one that is new to it.
+A host that detects a crash reports it to the owners of all pools, and each owner
+broadcasts it to all hosts, so that a host that becomes an owner has the whole history.
+Each host also synchronizes its history with the owners periodically, and at once with
+a new owner.
 """
 
 from collections.abc import Awaitable, Callable, Mapping
@@ -32,11 +33,11 @@
 from bitterntiller.core.runtime import Runtime
 
 UpdateListener = Callable[[frozenset[int]], Awaitable[None]]
-"""Takes the fingerprints of requests of which something new is known."""
+"""Called with the fingerprints of requests whose crash history has changed."""
 
 
 class CrashCoordinator:
-    """Owns the history of one process; a core CrashView."""
+    """Holds the crash history of one process; a core CrashWatch and CrashRegister."""
 
     def __init__(
         self, runtime: Runtime, config: ConfigView, directory: DirectoryView
@@ -55,23 +56,23 @@
         self.history = CrashHistory()
 
     def add_listener(self, listener: UpdateListener) -> None:
-        """Have a callback awaited when something new is known of requests."""
+        """Add a callback that is awaited when the history of requests changes."""
         self._listeners.append(listener)
 
     def fingerprint(self, workspace: str, method: str, target: str, body: bytes) -> int:
-        """Return the number that names a request over all its copies."""
+        """Return the number that identifies all copies of a request."""
         return fingerprint(self._key, workspace, method, target, body)
 
     def count(self, fingerprint: int, now: float) -> int:
-        """Return how many upstreams have ended under a request."""
+        """Return how many upstreams have crashed under a request."""
         return self.history.count(fingerprint, now)
 
     def quarantined_for(self, fingerprint: int, now: float) -> float:
-        """Return the seconds for which a request may not be sent, 0 if it may."""
+        """Return the remaining quarantine of a request in seconds, 0 without one."""
         return self.history.quarantined_for(fingerprint, now)
 
     def has_crashes(self, fingerprint: int) -> bool:
-        """Tell whether a request has crashes that count."""
+        """Return whether any crashes are stored for a request."""
         return self.count(fingerprint, self._clock.now()) > 0
 
     def describe(self) -> Mapping[str, Any]:
@@ -79,9 +80,10 @@
         return describe(self.history, self._clock.now())
 
     async def async_check_crash(self, sent: SentRequest, retrying: bool) -> None:
-        """Find out whether an upstream has ended under a request.
+        """Probe whether an upstream has ended under a request.
 
-        Only one that is to be sent again, and could be once too often, waits for it.
+        Wait for the result only if the request is to be retried and one more crash
+        would quarantine it.
         """
         task = await curio.spawn(self._async_probe, sent, daemon=True)
         count = self.count(sent.fingerprint, self._clock.now())
@@ -89,18 +91,18 @@
             await task.join()
 
     async def async_record_success(self, fingerprint: int) -> None:
-        """Take note of a whole answer: the request doesn't crash its upstream."""
+        """Record a complete response: the request does not crash its upstream."""
         if self.has_crashes(fingerprint):
             await self.async_clear(fingerprint)
 
     async def async_clear(self, fingerprint: int) -> None:
-        """Forget the crashes of a request, on all hosts."""
+        """Clear the crashes of a request on all hosts."""
         clearing = Clearing(fingerprint, self._clock.now())
         await self._async_merge(CrashUpdate(clearings=(clearing,)), self._host)
         await self._async_notify_owners()
 
     async def async_on_report(self, host: str, message: Any) -> Any:
-        """Join a messages.CrashReport; answer with what its sender lacks."""
+        """Merge a messages.CrashReport; reply with what its sender lacks."""
         now = self._clock.now()
         if message.digest is not None:
             digest = self.history.digest(now)
@@ -113,7 +115,7 @@
         return report_message(missing, self._host, now)
 
     async def async_run(self) -> None:
-        """Exchange updates with owners, until cancelled."""
+        """Synchronize with the owners until cancelled."""
         while True:
             self._sync_needed.clear()
             now = self._clock.now()
@@ -165,7 +167,7 @@
         return new
 
     async def _async_notify_owners(self) -> None:
-        """Have everything exchanged with all owners now, and again until they hear."""
+        """Schedule a full exchange with all owners now, retried until it succeeds."""
         self._synced_at_by_owner.clear()
         await self._sync_needed.set()
 
@@ -183,9 +185,9 @@
         return list(owners)
 
     async def _async_sync(self, owner: Ownership) -> float:
-        """Exchange what is known; return the seconds until the next exchange.
+        """Synchronize with an owner; return the seconds until the next exchange.
 
-        An owner that was told all is only asked whether it still knows the same.
+        With an owner that already got the whole history only digests are compared.
         """
         now = self._clock.now()
         try:
@@ -215,7 +217,7 @@
         await self._async_merge(crash_update(reply, self._clock.now()), reply.host)
 
     async def _async_broadcast(self, update: CrashUpdate, reporter: str) -> None:
-        """Tell all hosts but the reporter; a dead one must not hold up the others."""
+        """Send to all hosts but the reporter, so that a dead one delays no other."""
         now = self._clock.now()
         report = report_message(update, self._host, now)
         for name, host in self._directory.hosts_by_name.items():
--- a/bitterntiller/components/crashes/diagnostics.py
+++ b/bitterntiller/components/crashes/diagnostics.py
@@ -1,4 +1,4 @@
-"""The share of the dump that tells which requests have crashed upstreams."""
+"""Diagnostics: the requests that have crashed upstreams."""
 
 from collections.abc import Mapping
 from typing import Any
--- a/bitterntiller/components/crashes/errors.py
+++ b/bitterntiller/components/crashes/errors.py
@@ -1,9 +1,9 @@
-"""Errors of the crashes part."""
+"""Errors of crash detection."""
 
 from bitterntiller.core.errors import CodedError
 
 
 class DamagedHistoryError(CodedError):
-    """Raised for a file of the history that can't be read."""
+    """Raised for a history file that can't be read."""
 
     code = "damaged-crash-history"
--- a/bitterntiller/components/crashes/event_logging.py
+++ b/bitterntiller/components/crashes/event_logging.py
@@ -1,4 +1,4 @@
-"""What is found out of crashes, as events of the log."""
+"""Log events of crash detection."""
 
 from bitterntiller.components.crashes.fingerprint import format_fingerprint
 from bitterntiller.components.crashes.models import Crash
@@ -6,7 +6,7 @@
 
 
 def log_probe(request_id: str, upstream: str, address: str, ended: bool) -> None:
-    """Log whether the upstream of a broken answer has ended."""
+    """Log whether the upstream of a broken response has ended."""
     events.emit(
         "upstream-probed",
         request=request_id,
@@ -17,7 +17,7 @@
 
 
 def log_crash(crash: Crash, reporter: str, count: int, quarantined_for: float) -> None:
-    """Log that an upstream ended under a request, and what follows for it."""
+    """Log that an upstream crashed under a request, with the resulting quarantine."""
     events.emit(
         "upstream-crashed",
         fingerprint=format_fingerprint(crash.fingerprint),
@@ -30,7 +30,7 @@
 
 
 def log_clearing(fingerprint: int, reporter: str) -> None:
-    """Log that the crashes of a request count no more."""
+    """Log that the crashes of a request were cleared."""
     events.emit(
         "crashes-cleared",
         fingerprint=format_fingerprint(fingerprint),
--- a/bitterntiller/components/crashes/fingerprint.py
+++ b/bitterntiller/components/crashes/fingerprint.py
@@ -1,4 +1,4 @@
-"""Names a request over all its copies, whatever their ids and headers."""
+"""Fingerprints of requests, equal for all copies whatever their ids and headers."""
 
 import hashlib
 
@@ -8,10 +8,10 @@
 def fingerprint(
     key: bytes, workspace: str, method: str, target: str, body: bytes
 ) -> int:
-    """Return a positive number of 63 bits, the same for each copy of a request.
+    """Return a positive 63-bit number that is the same for each copy of a request.
 
-    It is keyed with a secret of the deployment, so that nobody can tell a body from
-    the log or make another body with the same number.
+    It is keyed with a secret of the deployment, so that nobody can infer a body from
+    the log or construct another body with the same fingerprint.
     """
     digest = hashlib.blake2b(
         f"{workspace}\0{method}\0{target}\0".encode("utf-8", "surrogatepass"),
@@ -23,5 +23,5 @@
 
 
 def format_fingerprint(number: int) -> str:
-    """Return a fingerprint as logs and commands show it."""
+    """Return a fingerprint as printed in logs and by commands."""
     return f"{number:016x}"
--- a/bitterntiller/components/crashes/history.py
+++ b/bitterntiller/components/crashes/history.py
@@ -1,8 +1,8 @@
-"""Which requests have crashed upstreams, and for how long each is quarantined; no I/O.
+"""The requests that have crashed upstreams, and their quarantines; no I/O.
 
-A copy of a request has an id of its own, so requests are known by a fingerprint. Each
-process of an upstream counts once, whoever tells of its end: histories of several hosts
-can be joined in any order and give the same result.
+Each copy of a request has its own id, so requests are identified by a fingerprint. Each
+process of an upstream counts once, whichever host reports its end: histories of several
+hosts can be merged in any order with the same result.
 """
 
 from collections.abc import Iterable
@@ -28,16 +28,17 @@
 class CrashHistory:
     """Counts crashes by request, bounded in number and in age.
 
-    A request with QUARANTINE_THRESHOLD crashes is in quarantine for
-    FIRST_QUARANTINE_SECONDS, with one more for QUARANTINE_SECONDS, doubled by each
-    further one. Afterwards one copy of it may run, and a whole answer clears it.
+    A request with QUARANTINE_THRESHOLD crashes is quarantined for
+    FIRST_QUARANTINE_SECONDS, after one more crash for QUARANTINE_SECONDS, and each
+    further crash doubles that. After the quarantine one copy of it may run, and a
+    complete response clears it.
     """
 
     def __init__(self) -> None:
         self._entries_by_fingerprint: dict[int, _Entry] = {}
 
     def merge(self, update: CrashUpdate, now: float) -> CrashUpdate:
-        """Join an update into this history; return the part that was not known."""
+        """Merge an update into this history; return the part that is new."""
         crashes = tuple(item for item in update.crashes if self._add_crash(item, now))
         clearings = tuple(
             item for item in update.clearings if self._add_clearing(item, now)
@@ -46,14 +47,14 @@
         return CrashUpdate(crashes, clearings)
 
     def count(self, fingerprint: int, now: float) -> int:
-        """Return how many upstreams have ended under a request."""
+        """Return how many upstreams have crashed under a request."""
         entry = self._entries_by_fingerprint.get(fingerprint)
         if entry is None or now - entry.newest_at() > const.RETENTION_SECONDS:
             return 0
         return len(entry.crashes_by_process)
 
     def quarantined_for(self, fingerprint: int, now: float) -> float:
-        """Return the seconds for which a request may not be sent, 0 if it may."""
+        """Return the remaining quarantine of a request in seconds, 0 without one."""
         count = self.count(fingerprint, now)
         if count < const.QUARANTINE_THRESHOLD:
             return 0.0
@@ -61,7 +62,7 @@
         return max(0.0, newest_at + _quarantine_seconds(count) - now)
 
     def snapshot(self, now: float) -> CrashUpdate:
-        """Return all that is remembered."""
+        """Return the whole history."""
         self.expire(now)
         entries = self._entries_by_fingerprint
         crashes = [
@@ -77,7 +78,7 @@
         return CrashUpdate(tuple(crashes), tuple(clearings))
 
     def missing_from(self, other: CrashUpdate, now: float) -> CrashUpdate:
-        """Return what is remembered here and not in another host's update."""
+        """Return the part of this history that another host's update lacks."""
         known = {(item.fingerprint, *_process_key(item)) for item in other.crashes}
         cleared_at = {item.fingerprint: item.at for item in other.clearings}
         own = self.snapshot(now)
@@ -95,7 +96,7 @@
         return CrashUpdate(tuple(crashes), tuple(clearings))
 
     def digest(self, now: float) -> int:
-        """Return a number that is the same for hosts that remember the same."""
+        """Return a number that is equal on hosts with equal histories."""
         known = self.snapshot(now)
         digest = 0
         for item in known.crashes:
@@ -105,14 +106,14 @@
         return digest
 
     def expire(self, now: float) -> None:
-        """Forget what is older than KEPT_SECONDS."""
+        """Drop entries older than RETENTION_SECONDS."""
         entries = self._entries_by_fingerprint
         for fingerprint, entry in list(entries.items()):
             if now - entry.newest_at() > const.RETENTION_SECONDS:
                 del entries[fingerprint]
 
     def fingerprints(self) -> Iterable[int]:
-        """Return the requests that have crashes."""
+        """Return the fingerprints of requests with crashes."""
         entries = self._entries_by_fingerprint
         return [key for key, entry in entries.items() if entry.crashes_by_process]
 
@@ -165,8 +166,8 @@
 MAX_DOUBLINGS = 16
 
 _CLEARING_TOLERANCE = 0.5
-"""By how much the time of one clearing may differ between hosts: it is told as an age,
-and messages take some time."""
+"""Maximum difference in the time of one clearing between hosts, in seconds: messages
+carry its age, and their delay is unknown."""
 
 
 def _hash(*parts: object) -> int:
--- a/bitterntiller/components/crashes/history_file.py
+++ b/bitterntiller/components/crashes/history_file.py
@@ -1,4 +1,4 @@
-"""Keeps the history of crashes in a file, for the time after a restart of all hosts.
+"""The file of the crash history, which preserves it over a restart of all hosts.
 
 The file is JSON: lists of crashes and of clearings with their Unix times in seconds.
 """
@@ -22,10 +22,10 @@
 
 
 def save(path: Path, known: CrashUpdate, offset: float) -> None:
-    """Write a history in place of the one before, and wait for the disk.
+    """Replace the file atomically and wait until it is on disk.
 
-    offset is the Unix time less the time of the process's clock, in seconds. Raise
-    OSError; the file is then the one before or the new one.
+    offset is the Unix time minus the time of the process's clock, in seconds. Raise
+    OSError; the file then has the previous or the new content.
     """
     document = {
         "crashes": [(*item[:3], item.at + offset) for item in known.crashes],
@@ -46,7 +46,7 @@
 
 
 def load(path: Path, offset: float) -> CrashUpdate:
-    """Return the history in a file, an empty one if there is none.
+    """Return the history in a file, an empty one if the file does not exist.
 
     Raise DamagedHistoryError for a file that can't be read.
     """
--- a/bitterntiller/components/crashes/models.py
+++ b/bitterntiller/components/crashes/models.py
@@ -1,4 +1,4 @@
-"""What is remembered of requests under which upstreams ended; times in seconds."""
+"""Data types of the crash history; times in seconds."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 class Crash(NamedTuple):
     """The end of one upstream's process while it ran a request.
 
-    fingerprint names the request over all its copies; at is on this process's clock.
+    fingerprint identifies all copies of the request; at is on this process's clock.
     """
 
     fingerprint: int
@@ -16,24 +16,24 @@
 
 
 class Clearing(NamedTuple):
-    """A whole answer to a request, or an operator's word: what was before is void."""
+    """A complete response or an operator's command, which voids all earlier crashes."""
 
     fingerprint: int
     at: float
 
 
 class CrashUpdate(NamedTuple):
-    """Crashes and clearings that one host tells another."""
+    """Crashes and clearings, as exchanged between hosts."""
 
     crashes: tuple[Crash, ...] = ()
     clearings: tuple[Clearing, ...] = ()
 
     @property
     def empty(self) -> bool:
-        """Tell whether there is nothing in it."""
+        """Return whether it has neither crashes nor clearings."""
         return not self.crashes and not self.clearings
 
     @property
     def fingerprints(self) -> frozenset[int]:
-        """Return the requests that it is about."""
+        """Return the fingerprints of all its crashes and clearings."""
         return frozenset(item.fingerprint for item in self.crashes + self.clearings)
--- a/bitterntiller/components/crashes/probe.py
+++ b/bitterntiller/components/crashes/probe.py
@@ -1,4 +1,4 @@
-"""Finds out whether the process behind an address has ended."""
+"""Probes whether the process that listened on an address has ended."""
 
 import curio
 
@@ -7,10 +7,10 @@
 
 
 async def async_has_ended(address: str) -> bool:
-    """Tell whether connections to IP:port are refused, and still are a moment later.
+    """Return whether connections to IP:port are refused, twice in PROBE_INTERVAL.
 
-    A reset of one connection, a silent path and an upstream that is slow are no end of
-    a process.
+    A reset connection, a network path without replies or a slow upstream don't prove
+    that a process has ended.
     """
     if not await _async_refuses(address):
         return False
--- a/bitterntiller/components/crashes/store.py
+++ b/bitterntiller/components/crashes/store.py
@@ -1,4 +1,4 @@
-"""Writes the history of crashes to the data folder whenever it has changed."""
+"""Persists the crash history in the data folder after each change."""
 
 import time
 from pathlib import Path
@@ -14,9 +14,9 @@
 
 
 class HistoryStore:
-    """Loads a history at the start and saves it in a thread after each change.
+    """Loads the history at startup and saves it in a thread after each change.
 
-    A history that can't be read or written costs no request: the other hosts have it.
+    A history that can't be read or written fails no request: the other hosts have it.
     """
 
     def __init__(self, path: Path, history: CrashHistory, clock: Clock) -> None:
@@ -26,15 +26,18 @@
         self._changed = curio.Event()
 
     def load(self) -> None:
-        """Join the history of before the start into the present one."""
+        """Merge the stored history into the current one."""
         now = self._clock.now()
         try:
             self._history.merge(load(self._path, time.time() - now), now)
         except DamagedHistoryError as error:
-            logging.warning("the crash history begins empty: %s", error.text)
+            logging.warning(
+                "can't load the crash history, starting with an empty one: %s",
+                error.text,
+            )
 
     async def async_schedule_save(self, _fingerprints: frozenset[int]) -> None:
-        """Have the history saved soon."""
+        """Schedule a save of the history."""
         await self._changed.set()
 
     async def async_run(self) -> None:
@@ -47,7 +50,7 @@
             try:
                 await curio.run_in_thread(save, self._path, known, time.time() - now)
             except OSError as error:
-                logging.warning("the crash history was not saved: %s", error)
+                logging.warning("can't save the crash history, will retry: %s", error)
                 await curio.sleep(const.SAVE_RETRY_DELAY)
                 await self._changed.set()
             await curio.sleep(const.MIN_SAVE_INTERVAL)
--- a/bitterntiller/components/crashes/wire.py
+++ b/bitterntiller/components/crashes/wire.py
@@ -1,4 +1,4 @@
-"""From crash updates to messages of other hosts, and back."""
+"""Converts crash updates to and from messages between hosts."""
 
 from bitterntiller.components.crashes.models import Clearing, Crash, CrashUpdate
 from bitterntiller.protocol import messages
@@ -11,9 +11,9 @@
     broadcast: bool = False,
     digest: int | None = None,
 ) -> messages.CrashReport:
-    """Return an update as a message; broadcast asks the receiver to tell all hosts.
+    """Return an update as a message; broadcast asks the receiver to forward it to all.
 
-    With a digest it has no update and asks for that of the receiver.
+    A message with a digest has no update and asks for the receiver's digest.
     """
     return messages.CrashReport(
         host=host,
@@ -38,7 +38,7 @@
 
 
 def crash_update(message: messages.CrashReport, now: float) -> CrashUpdate:
-    """Return the update of a message in this process's time."""
+    """Return the update in a message, with times on this process's clock."""
     return CrashUpdate(
         tuple(
             Crash(
--- a/tests/components/crashes/builders.py
+++ b/tests/components/crashes/builders.py
@@ -1,4 +1,4 @@
-"""Builders of crashes and of what hosts tell of them."""
+"""Builders of crashes and crash reports."""
 
 from typing import Any
 
@@ -10,12 +10,12 @@
 
 
 def crash(upstream: str = "e1", **changes: Any) -> Crash:
-    """Return the end of an upstream under the same request each time."""
+    """Return the crash of an upstream, by default always under the same request."""
     return Crash(POISON, upstream, "1", 1000.0)._replace(**changes)
 
 
 def crashes(count: int, **changes: Any) -> CrashUpdate:
-    """Return the ends of several upstreams, a second apart, under one request."""
+    """Return crashes of several upstreams under one request, a second apart."""
     return CrashUpdate(
         tuple(
             crash(f"e{n}", **({"at": 1000.0 + n} | changes))
@@ -30,5 +30,5 @@
 
 
 def report(count: int, now: float) -> Any:
-    """Return the message of a host whose requests have ended several upstreams."""
+    """Return the report of a host that saw several upstreams crash under a request."""
     return report_message(crashes(count, at=now), "reporter", now, broadcast=True)
--- a/tests/components/crashes/test_coordinator.py
+++ b/tests/components/crashes/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Tests of how hosts find out about crashes and share them."""
+"""Tests of how hosts detect crashes and share them."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -17,7 +17,7 @@
 
 
 class Hosts:
-    """Several hosts whose links call each other's coordinators; one owns the pools."""
+    """Hosts whose links call each other's coordinators; one of them owns the pools."""
 
     def __init__(self, *names: str, owner: str) -> None:
         self.clock = ManualClock()
@@ -33,7 +33,7 @@
             self.start(name)
 
     def start(self, name: str) -> CrashCoordinator:
-        """Start a host, with nothing remembered."""
+        """Start a host with an empty history."""
         self._boots_by_name[name] = self._boots_by_name.get(name, 0) + 1
         runtime: Any = SimpleNamespace(
             settings=SimpleNamespace(
@@ -69,7 +69,7 @@
 
     @asynccontextmanager
     async def running(self, *names: str) -> AsyncIterator[None]:
-        """Have hosts exchange update as long as the context lasts."""
+        """Let hosts exchange updates as long as the context lasts."""
         tasks = [
             await curio.spawn(self.coordinators_by_name[name].async_run)
             for name in names
@@ -81,7 +81,7 @@
                 await task.cancel()
 
     def counts(self) -> dict[str, int]:
-        """Return how many crashes each host knows of."""
+        """Return the number of crashes in each host's history."""
         return {
             name: coordinator.count(build.POISON, self.clock.now())
             for name, coordinator in self.coordinators_by_name.items()
@@ -108,7 +108,7 @@
         return address
 
 
-def test_reset_of_one_connection_is_no_crash():
+def test_reset_connection_is_not_a_crash():
     async def async_main() -> int:
         hosts = Hosts("a", owner="a")
         async with listening() as address:
@@ -121,7 +121,7 @@
     assert curio.run(async_main) == 0
 
 
-def test_upstream_that_listens_again_at_once_has_not_crashed():
+def test_upstream_that_listens_again_immediately_has_not_crashed():
     async def async_main() -> int:
         hosts = Hosts("a", owner="a")
         address = await async_closed_address()
@@ -137,7 +137,7 @@
     assert curio.run(async_main) == 0
 
 
-def test_each_host_hears_of_a_crash_from_the_owner():
+def test_owner_broadcasts_a_crash_to_each_host():
     async def async_main() -> dict[str, int]:
         hosts = Hosts("a", "b", "c", owner="b")
         address = await async_closed_address()
@@ -151,7 +151,7 @@
     assert curio.run(async_main) == {"a": 1, "b": 1, "c": 1}
 
 
-def test_crash_while_the_owner_is_away_is_told_to_the_next_one():
+def test_crash_while_the_owner_is_down_is_reported_to_the_next_one():
     async def async_main() -> dict[str, int]:
         hosts = Hosts("a", "b", "c", owner="b")
         hosts.down.add("b")
@@ -167,7 +167,7 @@
     assert curio.run(async_main) == {"a": 2, "b": 0, "c": 2}
 
 
-def test_owner_that_starts_with_nothing_is_told_all():
+def test_restarted_owner_gets_the_whole_history():
     async def async_main() -> dict[str, int]:
         hosts = Hosts("a", "b", owner="b")
         async with hosts.running("a"):
@@ -182,7 +182,7 @@
     assert curio.run(async_main) == {"a": 3, "b": 3}
 
 
-def test_whole_answer_clears_a_request_on_all_hosts():
+def test_complete_response_clears_a_request_on_all_hosts():
     async def async_main() -> dict[str, int]:
         hosts = Hosts("a", "b", "c", owner="b")
         async with hosts.running("a", "b", "c"):
@@ -198,7 +198,7 @@
     assert curio.run(async_main) == {"a": 0, "b": 0, "c": 0}
 
 
-def test_whole_answer_of_an_unsuspected_request_costs_no_message():
+def test_complete_response_to_an_unsuspected_request_causes_no_message():
     async def async_main() -> bool:
         hosts = Hosts("a", "b", owner="b")
         coordinator = hosts.coordinators_by_name["a"]
@@ -208,7 +208,7 @@
     assert curio.run(async_main)
 
 
-def test_host_that_missed_what_the_owner_told_hears_it_later(monkeypatch):
+def test_host_that_missed_a_broadcast_gets_it_later(monkeypatch):
     monkeypatch.setattr(const, "SYNC_PERIOD", 0.3)
 
     async def async_main() -> dict[str, int]:
@@ -228,7 +228,7 @@
     assert curio.run(async_main) == {"a": 2, "b": 2, "c": 2}
 
 
-def test_hosts_that_know_the_same_exchange_no_more_than_a_digest(monkeypatch):
+def test_hosts_with_equal_histories_exchange_only_digests(monkeypatch):
     monkeypatch.setattr(const, "SYNC_PERIOD", 0.3)
 
     async def async_main() -> list[int]:
@@ -249,7 +249,7 @@
     assert not any(sizes)
 
 
-def test_broken_answer_of_a_request_that_ends_keeps_nobody_waiting():
+def test_request_without_a_retry_does_not_wait_for_the_probe():
     async def async_main() -> float:
         hosts = Hosts("a", owner="a")
         coordinator = hosts.coordinators_by_name["a"]
@@ -262,7 +262,7 @@
     assert curio.run(async_main) < const.PROBE_INTERVAL / 2
 
 
-def test_request_that_is_sent_again_waits_until_its_last_allowed_crash_is_known():
+def test_retry_waits_for_the_probe_of_its_last_allowed_crash():
     async def async_main() -> int:
         hosts = Hosts("a", owner="a")
         coordinator = hosts.coordinators_by_name["a"]
--- a/tests/components/crashes/test_history.py
+++ b/tests/components/crashes/test_history.py
@@ -1,4 +1,4 @@
-"""Tests and properties of the history of crashes."""
+"""Tests and properties of the crash history."""
 
 import random
 
@@ -38,23 +38,23 @@
     assert made.quarantined_for(build.POISON, NOW) == const.FIRST_QUARANTINE_SECONDS
 
 
-def test_one_end_of_an_upstream_told_by_many_hosts_counts_once():
+def test_crash_reported_by_many_hosts_counts_once():
     made = history(*[build.crashes(1, at=1000.0 + n) for n in range(5)])
     assert made.count(build.POISON, NOW) == 1
 
 
-def test_request_whose_answer_came_whole_is_free():
+def test_complete_response_clears_a_request():
     made = history(build.crashes(3), build.clearing(1005.0))
     assert made.count(build.POISON, NOW) == 0
     assert not made.quarantined_for(build.POISON, NOW)
 
 
-def test_crashes_from_before_a_clearing_do_not_come_back_with_late_news():
+def test_late_report_of_a_crash_before_a_clearing_is_ignored():
     made = history(build.clearing(1005.0), build.crashes(3))
     assert made.count(build.POISON, NOW) == 0
 
 
-def test_request_is_not_kept_out_for_good():
+def test_quarantine_is_bounded():
     made = history(build.crashes(9, at=1000.0))
     assert not made.quarantined_for(build.POISON, 1000.0 + const.MAX_QUARANTINE_SECONDS)
 
@@ -68,7 +68,7 @@
     assert made.quarantined_for(build.POISON, 1000.0) == expected
 
 
-def test_memory_is_bounded_and_keeps_those_that_crash_most():
+def test_eviction_keeps_the_requests_with_most_crashes():
     made = history(build.crashes(3))
     many = [
         build.crash(fingerprint=n, at=1001.0) for n in range(const.MAX_REQUESTS + 50)
@@ -78,7 +78,7 @@
     assert made.count(build.POISON, NOW) == 3
 
 
-def test_old_crashes_are_forgotten():
+def test_old_crashes_expire():
     made = history(build.crashes(3))
     later = 1004.0 + const.RETENTION_SECONDS
     assert made.count(build.POISON, later) == 0
@@ -118,5 +118,5 @@
 
 
 def ends(made: CrashHistory) -> set[tuple]:
-    """Return the ends of processes that a history has, whenever they were."""
+    """Return the crashes in a history without their times."""
     return {item[:3] for item in made.snapshot(NOW).crashes}
--- a/tests/components/crashes/test_store.py
+++ b/tests/components/crashes/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of the history that outlives the end of all processes."""
+"""Tests of the crash history on disk."""
 
 import curio
 import pytest
@@ -25,7 +25,7 @@
     assert first.at == known.crashes[0].at - 900.0
 
 
-def test_no_file_is_an_empty_history(tmp_path):
+def test_missing_file_is_an_empty_history(tmp_path):
     assert load(tmp_path / "crashes.json", OFFSET).empty
 
 
@@ -40,14 +40,14 @@
         "[" * 9999,
     ],
 )
-def test_damaged_file_is_named(tmp_path, text):
+def test_error_names_the_damaged_file(tmp_path, text):
     path = tmp_path / "crashes.json"
     path.write_text(text)
     with pytest.raises(DamagedHistoryError, match=r"crashes\.json"):
         load(path, OFFSET)
 
 
-def test_failed_save_leaves_the_file_before(tmp_path, monkeypatch):
+def test_failed_save_keeps_the_previous_file(tmp_path, monkeypatch):
     path = tmp_path / "crashes.json"
     save(path, build.crashes(1), OFFSET)
 
@@ -64,7 +64,7 @@
     return HistoryStore(path, history, ManualClock())
 
 
-def test_quarantine_outlives_the_end_of_all_processes(tmp_path):
+def test_quarantine_survives_a_restart_of_all_processes(tmp_path):
     path = tmp_path / "crashes.json"
 
     async def async_main() -> None:
@@ -82,7 +82,7 @@
     assert after.quarantined_for(build.POISON, 1000.0) > 100
 
 
-def test_damaged_file_keeps_no_process_from_starting(tmp_path):
+def test_damaged_file_does_not_prevent_startup(tmp_path):
     path = tmp_path / "crashes.json"
     path.write_text("{")
     history = CrashHistory()
@@ -90,7 +90,7 @@
     assert history.snapshot(1000.0).empty
 
 
-def test_disk_that_fails_is_tried_again(tmp_path, monkeypatch):
+def test_failed_save_is_retried(tmp_path, monkeypatch):
     path = tmp_path / "crashes.json"
     monkeypatch.setattr("bitterntiller.components.crashes.const.SAVE_RETRY_DELAY", 0.05)
     monkeypatch.setattr(
