--- a/bench/control_parts.py
+++ b/bench/control_parts.py
@@ -55,7 +55,7 @@
     def leader(self) -> str:
         return "10.0.0.1:7000"
 
-    async def async_leader_known(self, timeout: float) -> None:
+    async def async_wait_for_leader(self, timeout: float) -> None:
         return
 
     def status(self) -> Mapping[str, Any]:
@@ -132,13 +132,13 @@
     return encode(command)
 
 
-def processor_seconds(call: Callable[[], Any]) -> float:
+def measure_cpu_seconds(call: Callable[[], Any]) -> float:
     began = time.process_time()
     call()
     return time.process_time() - began
 
 
-def allocated(call: Callable[[], Any]) -> tuple[Any, int]:
+def measure_allocation(call: Callable[[], Any]) -> tuple[Any, int]:
     """Return the result of a call and the bytes that it left allocated."""
     gc.collect()
     tracemalloc.start()
--- a/bitterntiller/cli/operator_client.py
+++ b/bitterntiller/cli/operator_client.py
@@ -37,8 +37,8 @@
     ) -> OperatorResponse:
         """Send a request to one port.
 
-        Raise ConnectRefusedError when nothing was sent, and BrokenAnswerError when
-        the request may have been executed but no complete response arrived.
+        Raise ConnectRefusedError when nothing was sent, and IncompleteResponseError
+        when the request may have been executed but no complete response arrived.
         """
         lines = [
             (b"host", address.encode()),
--- a/bitterntiller/components/entry/ended_requests.py
+++ b/bitterntiller/components/entry/ended_requests.py
@@ -50,7 +50,7 @@
         self._endings: deque[EndedRequest] = deque()
         self._acknowledged = AcknowledgedPositions()
 
-    def note(self, request_id: str, now: float) -> None:
+    def add(self, request_id: str, now: float) -> None:
         """Record the end of a request."""
         self._number += 1
         self._endings.append(EndedRequest(self._number, now, request_id))
@@ -65,7 +65,7 @@
         owner identifies one process of the owner's host. An id that is live again is
         left out: the caller has sent a new request with it.
         """
-        upto = self._acknowledged.upto(owner)
+        upto = self._acknowledged.position(owner)
         ids = []
         for ending in self._endings:
             if ending.number <= upto or ending.at < now - KEPT_SECONDS:
@@ -86,6 +86,6 @@
             and ending.request_id not in live
         ]
 
-    def note_acknowledged(self, owner: str, ends: UnacknowledgedEnds) -> None:
+    def record_acknowledged(self, owner: str, ends: UnacknowledgedEnds) -> None:
         """Record that an owner has acknowledged a report with these ends."""
-        self._acknowledged.note(owner, ends.upto)
+        self._acknowledged.record(owner, ends.upto)
--- a/bitterntiller/core/interfaces.py
+++ b/bitterntiller/core/interfaces.py
@@ -14,7 +14,7 @@
         """Have a handler called for each message of a type; return the removal."""
         ...
 
-    def add_lost_listener(self, listener: Callable[[], Awaitable[None]]) -> None:
+    def add_disconnect_listener(self, listener: Callable[[], Awaitable[None]]) -> None:
         """Have a callback awaited when a connection to a peer has ended."""
         ...
 
@@ -257,7 +257,7 @@
         """Return the internal address of the leader, empty when not known."""
         ...
 
-    async def async_leader_known(self, timeout: float) -> None:
+    async def async_wait_for_leader(self, timeout: float) -> None:
         """Return once a leader is known here, or after timeout seconds."""
         ...
 
