--- a/bitterntiller/components/http/__init__.py
+++ b/bitterntiller/components/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP over h11: the server for callers and operators, the client for upstreams."""
+"""HTTP/1.1 with h11: a server for callers and operators, a client for upstreams."""
--- a/bitterntiller/components/http/buffered.py
+++ b/bitterntiller/components/http/buffered.py
@@ -1,4 +1,4 @@
-"""Serves whole requests: reads the body, answers with a whole document."""
+"""Serve requests with buffered bodies and responses."""
 
 from bitterntiller.components.http.exchange import Exchange
 from bitterntiller.components.http.models import HttpRequest, RequestHandler
@@ -7,9 +7,9 @@
 async def async_serve_buffered(
     exchange: Exchange, handler: RequestHandler, body_limit: int, timeout: float
 ) -> None:
-    """Read the whole request and send the handler's answer.
+    """Read the complete request and send the handler's response.
 
-    body_limit is in bytes, timeout in seconds; raise BadRequestError beyond.
+    Raise BadRequestError if the body exceeds body_limit bytes or timeout seconds.
     """
     body = await exchange.async_body(body_limit, timeout)
     head = exchange.head
--- a/bitterntiller/components/http/client.py
+++ b/bitterntiller/components/http/client.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 client towards upstreams: one exchange at a time on a connection."""
+"""HTTP/1.1 client for upstreams, with one exchange at a time per connection."""
 
 from typing import Any
 
@@ -23,14 +23,15 @@
 
 
 class ClientExchange:
-    """A connection that carries one exchange, and is then closed or kept.
+    """A connection that carries one exchange and is then closed or reused.
 
-    A new connection for each exchange keeps answers from crossing: a late answer to
-    an earlier request can't be read as the answer to this one. Where connections are
-    kept, the caller of async_head compares the id that an answer names.
+    With a new connection for each exchange, a late response to an earlier request can't
+    be taken for the response to this one. Where connections are reused, the caller of
+    async_head() compares the request id in the response.
 
-    With accept_close an answer without length or chunks ends with an orderly end of
-    the connection, as HTTP has it; otherwise it counts as broken.
+    With allow_close_delimited, a response without content-length or chunked encoding is
+    complete when the connection is closed in order, as HTTP defines it. Otherwise such
+    a response is incomplete.
     """
 
     def __init__(self, sock: Any, allow_close_delimited: bool = False) -> None:
@@ -53,7 +54,7 @@
     async def async_open(
         cls, address: str, timeout: float, allow_close_delimited: bool = False
     ) -> "ClientExchange":
-        """Connect to IP:port; raise ConnectRefusedError when that fails."""
+        """Connect to IP:port; raise ConnectRefusedError if that fails."""
         ip, _, port = address.rpartition(":")
         try:
             sock = await async_connect(ip, int(port), timeout)
@@ -63,14 +64,14 @@
 
     @property
     def keep_alive(self) -> float | None:
-        """Return after how many idle seconds the upstream closes, if it told."""
+        """The idle seconds after which the upstream closes, None if not stated."""
         return self._keep_alive
 
     async def async_prepare_reuse(self) -> bool:
-        """Make ready for another exchange; False when that can't be.
+        """Prepare for another exchange; return False if that is not possible.
 
-        Neither while anything of this one is under way, nor when more bytes have
-        come than the answer has: they belong to no request.
+        A connection can't be reused while its exchange is unfinished, or if bytes
+        followed the response, since these belong to no request.
         """
         if self._read_timeout_task is not None:
             await self._read_timeout_task.cancel()
@@ -78,8 +79,8 @@
         connection = self._h11
         done = connection.our_state is h11.DONE and connection.their_state is h11.DONE
         if self._sender is not None:
-            # An answer that came before the end of a long request is whole; the rest
-            # of the request is not, and the upstream still expects it here.
+            # The response may be complete before a long request has been sent; the
+            # upstream then still expects the rest of the request.
             done = done and self._sender.terminated
             await self._sender.cancel()
             self._sender = None
@@ -96,7 +97,7 @@
         return True
 
     def is_quiet(self) -> bool:
-        """Tell whether nothing has come on an idle connection, not even its end."""
+        """Return whether an idle connection has received nothing, not even its end."""
         try:
             with self._sock.blocking() as sock:
                 sock.setblocking(False)
@@ -115,19 +116,20 @@
         await self._sock.close()
 
     async def async_start_read_timeout(self, timeout: float) -> None:
-        """Have the reading break when nothing comes for timeout seconds.
+        """Make reads fail if nothing arrives for timeout seconds.
 
-        The guard looks a few times in that while, and may let a part of it more
-        pass. A timer for each reading would be a quarter of the work of relaying.
+        A task checks READ_TIMEOUT_CHECKS times within the timeout, so reads fail one to
+        two intervals late. A timer for each read would be a quarter of the cost of
+        relaying.
         """
         self._read_timeout_task = await curio.spawn(
             self._async_enforce_read_timeout, timeout, daemon=True
         )
 
     async def _async_enforce_read_timeout(self, timeout: float) -> None:
-        while self._idle_ticks <= const.GUARD_TICKS:
+        while self._idle_ticks <= const.READ_TIMEOUT_CHECKS:
             self._idle_ticks += 1
-            await curio.sleep(timeout / const.GUARD_TICKS)
+            await curio.sleep(timeout / const.READ_TIMEOUT_CHECKS)
         try:
             await self._sock.shutdown(socket.SHUT_RDWR)
         except OSError:
@@ -142,9 +144,9 @@
         timeout: float,
         close: bool = True,
     ) -> None:
-        """Send the request; raise IncompleteResponseError when it did not leave whole.
+        """Send the request; raise IncompleteResponseError if it can't be sent.
 
-        close asks the upstream to close the connection after its answer.
+        With close, ask the upstream to close the connection after its response.
         """
         self._method = method
         self._keep_alive = None
@@ -172,14 +174,14 @@
             raise IncompleteResponseError(f"sending broke: {error!r}") from error
 
     async def _async_send(self, data: bytes) -> None:
-        """Send a long request; what goes wrong shows at the reading of the answer."""
+        """Send a long request; a failure shows when the response is read."""
         try:
             await self._sock.sendall(data)
         except OSError:
             await self._sock.shutdown(socket.SHUT_RD)
 
     async def async_head(self, timeout: float) -> ResponseHead:
-        """Return the head of the answer; raise IncompleteResponseError."""
+        """Return the head of the response; raise IncompleteResponseError."""
         while True:
             event = await self._async_event(timeout)
             if isinstance(event, h11.InformationalResponse):
@@ -192,11 +194,11 @@
             return ResponseHead(event.status_code, list(event.headers))
 
     async def async_data(self, timeout: float | None = None) -> bytes | None:
-        """Return the next part of the body, None at its end marker.
+        """Return the next part of the body, None at its end.
 
-        Raise IncompleteResponseError when the connection ends before the marker, the
-        guard finds it silent, or nothing comes for timeout seconds where one is
-        given. Parts that have arrived together come together.
+        Raise IncompleteResponseError if the connection ends early, or if nothing
+        arrives for timeout seconds or, without one, for the time that was given to
+        async_start_read_timeout(). Parts that arrived together are joined.
         """
         if timeout is None:
             event = await self._async_next()
@@ -208,15 +210,15 @@
         if not isinstance(event, h11.Data):
             raise IncompleteResponseError("the answer ended before its end marker")
         data = bytes(event.data)
-        # Behind a chunk its line end is left; asking h11 for more would find that.
-        # An answer with a length may be at its end, which only h11 can tell.
+        # Only the line end of a chunk is left, so h11 needn't be asked for more. A
+        # response with content-length may have ended, which only h11 knows.
         if self._chunked and len(self._h11.trailing_data[0]) <= const.CHUNK_END_BYTES:
             self._buffer_drained = True
             return data
         return self._collect_buffered(data)
 
     async def async_skip_response(self) -> bool:
-        """Read past an answer that came before the own one; False when it can't be."""
+        """Skip a response to an earlier request; return False if that fails."""
         try:
             while await self.async_data(const.SKIP_TIMEOUT) is not None:
                 pass
@@ -227,7 +229,7 @@
             return False
         request = self._request
         self._h11 = h11.Connection(h11.CLIENT)
-        # The request has left already; a new parser is only told of it.
+        # The request was already sent; this only sets the state of the new parser.
         self._h11.send(request)
         self._h11.send(h11.EndOfMessage())
         self._buffer_drained = False
@@ -254,8 +256,8 @@
     def _check_complete(self) -> None:
         """Raise IncompleteResponseError for a close-delimited response.
 
-        A peer that dies within an answer without length or chunks closes its
-        socket in order, which shows as a part taken for the whole answer.
+        The kernel of a peer that dies during such a response closes its socket in
+        order, so that a part would be taken for the complete response.
         """
         if self._close_delimited and not self._allow_close_delimited:
             raise IncompleteResponseError("the answer has no end marker of its own")
@@ -264,7 +266,7 @@
         try:
             return self._h11.next_event()
         except h11.RemoteProtocolError as error:
-            # Raised again at the next reading, after the parts before it.
+            # Raised by the next read, after the parts that precede the error.
             return error
 
     async def _async_event(self, timeout: float) -> Any:
@@ -297,14 +299,14 @@
 
 
 def _without_body(request: h11.Request) -> h11.Request:
-    """Return a request as its answer depends on it: without the framing of a body."""
+    """Return the request without its body framing, which its response ignores."""
     framing = (b"content-length", b"transfer-encoding")
     headers = [item for item in request.headers if item[0] not in framing]
     return h11.Request(method=request.method, target=request.target, headers=headers)
 
 
 def keep_alive_seconds(headers: Headers) -> float | None:
-    """Return the timeout that a Keep-Alive header tells, in seconds."""
+    """Return the timeout of a Keep-Alive header in seconds, None without one."""
     value = header(headers, b"keep-alive") or ""
     for part in value.split(","):
         name, _, text = part.partition("=")
@@ -324,7 +326,10 @@
     body: bytes,
     timeout: float,
 ) -> HttpResponse:
-    """Return a whole answer; raise ConnectRefusedError or IncompleteResponseError."""
+    """Return a complete response.
+
+    Raise ConnectRefusedError or IncompleteResponseError.
+    """
     exchange = await ClientExchange.async_open(address, timeout)
     try:
         await exchange.async_request(method, target, headers, body, timeout)
--- a/bitterntiller/components/http/const.py
+++ b/bitterntiller/components/http/const.py
@@ -1,25 +1,26 @@
-"""Constants of HTTP towards callers, operators and upstreams."""
+"""Constants of the HTTP server and client."""
 
 READ_BYTES = 65536
 CHUNK_END_BYTES = 2
-GUARD_TICKS = 4
+READ_TIMEOUT_CHECKS = 4
 LINGER_BYTES = 16 * 1024 * 1024
 LINGER_SECONDS = 2.0
 BODYLESS_METHODS = frozenset({"GET", "HEAD", "DELETE", "OPTIONS"})
 SKIP_TIMEOUT = 0.5
-"""Seconds between the parts of an answer that is read only to get past it."""
+"""Seconds between the parts of a response that is read only to skip it."""
 
 SEND_AT_ONCE_BYTES = 16 * 1024
-"""A longer request is sent while its answer is awaited already.
+"""A request with more bytes is sent in a task while the response is awaited.
 
-An upstream may answer before it has read a long body and read on later, or never; a
-sending that is waited for would then miss the answer. Kernels take this much at once.
+An upstream may respond before it has read a long body, and read the rest later or
+never; waiting for the send to finish would miss that response. Kernels accept this many
+bytes at once.
 """
 
 BODYLESS_STATUSES = frozenset({204, 304})
 
 DEFAULT_IDLE_LIMIT = 2.0
-"""Seconds that a kept connection may be idle; many servers close theirs after five."""
+"""Seconds that a reused connection may be idle; many servers close after 5 s."""
 
 STATUS_TEXT: dict[int, bytes] = {
     200: b"OK",
--- a/bitterntiller/components/http/errors.py
+++ b/bitterntiller/components/http/errors.py
@@ -1,10 +1,10 @@
-"""Errors of HTTP towards callers and upstreams."""
+"""Errors of the HTTP server and client."""
 
 from bitterntiller.core.errors import CodedError
 
 
 class HttpError(CodedError):
-    """Base of what goes wrong on an HTTP connection."""
+    """Base class of errors on an HTTP connection."""
 
     code = "http"
 
@@ -26,12 +26,12 @@
 
 
 class ConnectRefusedError(HttpError):
-    """Raised when no connection was made: nothing can have been sent."""
+    """Raised when no connection was opened, so that nothing was sent."""
 
     code = "connect-refused"
 
 
 class IncompleteResponseError(HttpError):
-    """Raised when an upstream's answer ended before its end marker."""
+    """Raised when the connection fails before the response is complete."""
 
     code = "broken-answer"
--- a/bitterntiller/components/http/exchange.py
+++ b/bitterntiller/components/http/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller and its answer, over an h11 connection."""
+"""A caller's request and its response, over an h11 connection."""
 
 import os
 import struct
@@ -24,10 +24,10 @@
 
 
 class ServerConnection:
-    """A caller's connection: h11's state, the socket, and its timeouts.
+    """A caller's connection: h11 state, socket and timeouts in seconds.
 
-    Times are in seconds. Only one task reads at a time: the exchange while the
-    request comes in, then watch() while the answer is made.
+    Only one task reads at a time: the exchange while the request arrives, then
+    async_watch() until the response is sent.
     """
 
     def __init__(self, sock: Any, head_bytes: int, write_timeout: float) -> None:
@@ -40,8 +40,8 @@
     async def async_next_event(self, timeout: float) -> Any:
         """Return h11's next event.
 
-        Raise BadRequestError for bytes that are not HTTP or come too slowly,
-        CallerGoneError when the caller closed in the middle.
+        Raise BadRequestError for bytes that are not HTTP or arrive too slowly, and
+        CallerGoneError if the connection fails.
         """
         try:
             async with curio.timeout_after(timeout):
@@ -63,17 +63,17 @@
             raise CallerGoneError(repr(error)) from error
 
     async def async_wait_bytes(self) -> bool:
-        """Wait for bytes of the next request; False when the caller closed."""
+        """Wait for bytes of the next request; return False if the caller closed."""
         data = await self._async_receive()
         self.h11.receive_data(data)
         return bool(data)
 
     async def async_watch(self) -> None:
-        """Return when the caller closes its side while the answer is made.
+        """Return once the caller closes its side while the response is produced.
 
-        Bytes of a following request are kept for later; a caller that sends
-        more than a head of them is not read further. Its leaving then shows only
-        at the next writing: reading on would hold whatever it sends.
+        Bytes of a pipelined request are stored. After more than READ_BYTES of them
+        reading stops, since it would buffer without bound; a disconnect then shows
+        only at the next write.
         """
         kept = 0
         while True:
@@ -90,9 +90,9 @@
                 await curio.Event().wait()
 
     async def async_write(self, data: bytes) -> None:
-        """Send bytes; raise CallerGoneError when the caller does not take them.
+        """Send bytes; raise CallerGoneError if the caller does not read them.
 
-        Mostly the kernel takes all bytes at once; a timer is set only to wait.
+        The kernel mostly accepts all bytes at once, so a timer is set only if not.
         """
         try:
             sent = os.write(self.sock.fileno(), data)
@@ -116,13 +116,13 @@
             raise CallerGoneError(repr(error)) from error
 
     async def async_reset(self) -> None:
-        """Have the connection end by a TCP reset when its serving ends.
+        """Make the connection end with a TCP reset once its handler returns.
 
-        A cut answer must never look whole. An answer without a length to an
-        HTTP/1.0 caller ends with an orderly close; the reset makes the cut
-        visible there too. The socket is not closed here: watch() may still wait
-        on it, and the next socket of the process would get its number and
-        with it the wait of another task, so that connecting fails.
+        A truncated response must never look complete. To an HTTP/1.0 caller, a
+        response without a length ends with an orderly close, so only a reset shows the
+        truncation. The socket is not closed here, because async_watch() may still wait
+        on it: the next socket would get the same file descriptor and with it that
+        wait, and its connect would fail.
         """
         self.gone = True
         try:
@@ -131,12 +131,13 @@
             return
 
     async def async_linger(self) -> None:
-        """End the own side and read what the caller still sends, for a while.
+        """Shut down the write side and discard what the caller still sends.
 
-        Closing with unread bytes makes the kernel reset the connection, and the
-        reset takes the answer away from a caller that has not read it yet: one
-        that is refused while it sends its body would see a broken connection
-        instead of a true refusal. A request that was read whole leaves no bytes.
+        Closing with unread bytes makes the kernel send a reset, which discards a
+        response that the caller has not read yet. A caller that is refused while it
+        sends its body would see a connection error instead of the refusal. After a
+        request that was read completely there is nothing to discard. The time and the
+        bytes are bounded.
         """
         if self.h11.their_state in _READ_WHOLE:
             return
@@ -151,7 +152,7 @@
 
 
 class Exchange:
-    """One request and its answer."""
+    """A request and its response."""
 
     def __init__(self, connection: ServerConnection, head: RequestHead) -> None:
         self.head = head
@@ -160,7 +161,7 @@
         self.finished = False
 
     async def async_body(self, limit: int, timeout: float) -> bytes:
-        """Return the whole body; raise BadRequestError when it is over limit."""
+        """Return the complete body; raise BadRequestError if it exceeds limit."""
         await self._async_continue()
         parts: list[bytes] = []
         size = 0
@@ -184,7 +185,7 @@
         await self.connection.async_write(self.connection.h11.send(event))
 
     async def async_start(self, status: int, headers: Headers) -> None:
-        """Send the head of the answer."""
+        """Send the head of the response."""
         await self.connection.async_write(self._head(status, headers))
 
     def _head(self, status: int, headers: Headers) -> bytes:
@@ -198,18 +199,18 @@
         await self.connection.async_write(self.connection.h11.send(h11.Data(data=data)))
 
     async def async_finish(self) -> None:
-        """End the body: the only place where an answer becomes whole."""
+        """End the body; only here a streamed response becomes complete."""
         data = self.connection.h11.send(h11.EndOfMessage())
         self.finished = True
         if data:
             await self.connection.async_write(data)
 
     async def async_cut(self) -> None:
-        """End the connection without ending the answer."""
+        """Reset the connection without completing the response."""
         await self.connection.async_reset()
 
     async def async_respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer with its length, in one write."""
+        """Send a complete response with its length in one write."""
         length = (b"content-length", str(len(body)).encode())
         headers = [*headers, length]
         if self.connection.closing:
--- a/bitterntiller/components/http/models.py
+++ b/bitterntiller/components/http/models.py
@@ -1,13 +1,13 @@
-"""Data of HTTP requests and answers."""
+"""Data of HTTP requests and responses."""
 
 from typing import NamedTuple, Protocol
 
 Headers = list[tuple[bytes, bytes]]
-"""Names in lower case, as h11 gives them."""
+"""Header names are in lower case, as h11 returns them."""
 
 
 class RequestHead(NamedTuple):
-    """The first line and the headers of a request; target includes the query."""
+    """The request line and headers of a request; target includes the query."""
 
     method: str
     target: str
@@ -21,14 +21,14 @@
 
 
 class ResponseHead(NamedTuple):
-    """The status and the headers of an answer."""
+    """The status and the headers of a response."""
 
     status: int
     headers: Headers
 
 
 class HttpRequest(NamedTuple):
-    """A whole request with its body, for ports that serve small documents."""
+    """A request with its complete body, for ports that serve small documents."""
 
     method: str
     path: str
@@ -38,7 +38,7 @@
 
 
 class HttpResponse(NamedTuple):
-    """A whole answer."""
+    """A response with its complete body."""
 
     status: int
     headers: Headers
@@ -46,15 +46,15 @@
 
 
 class RequestHandler(Protocol):
-    """Answers whole requests."""
+    """Handles requests with their complete bodies."""
 
     async def async_handle(self, request: HttpRequest) -> HttpResponse:
-        """Return the answer to a request."""
+        """Return the response to a request."""
         ...
 
 
 def header(headers: Headers, name: bytes) -> str | None:
-    """Return the first value of a header, None when it is not there."""
+    """Return the first value of a header, None if it is missing."""
     for key, value in headers:
         if key == name:
             return value.decode("latin-1")
--- a/bitterntiller/components/http/pool.py
+++ b/bitterntiller/components/http/pool.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams that are kept for further exchanges."""
+"""A pool of reusable connections to upstreams."""
 
 from collections import deque
 
@@ -8,12 +8,12 @@
 
 
 class ConnectionPool:
-    """Idle connections by address; with most_idle 0 none is ever kept.
+    """Idle connections by address; max_idle is per address and 0 disables reuse.
 
-    Times are in seconds. A connection is used again only when it is quiet and has been
-    idle for less than idle_limit and than half of what the upstream told, so that an
-    upstream is not about to close it at the moment of the sending: whether the request
-    then ran can't be known.
+    Times are in seconds. A connection is reused only if it received nothing while idle
+    and was idle for less than idle_limit and than half of the upstream's keep-alive
+    timeout. An upstream could otherwise close it while a request is being sent, and
+    whether that request ran would be unknown.
     """
 
     def __init__(
@@ -33,13 +33,13 @@
 
     @property
     def keeps_connections(self) -> bool:
-        """Tell whether connections are kept at all."""
+        """Return whether connections are kept for reuse."""
         return self._max_idle > 0
 
     async def async_acquire(self, address: str, timeout: float) -> ClientExchange:
-        """Return a connection; raise ConnectRefusedError when none can be made.
+        """Return a connection; raise ConnectRefusedError if none can be opened.
 
-        The newest idle one goes first, so that surplus ones grow old and end.
+        The most recently used idle connection comes first, so that surplus ones expire.
         """
         idle = self._idle_by_address.get(address)
         while idle:
@@ -79,7 +79,7 @@
                 await idle.pop().async_close()
 
     def idle_by_address(self) -> dict[str, int]:
-        """Return how many idle connections there are, for the dump."""
+        """Return the number of idle connections by address, for the state dump."""
         return {address: len(idle) for address, idle in self._idle_by_address.items()}
 
     def _usable(self, client: ClientExchange) -> bool:
--- a/bitterntiller/components/http/server.py
+++ b/bitterntiller/components/http/server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server: connections, keep-alive, bounds, answers to bad requests."""
+"""HTTP/1.1 server: connections, keep-alive, limits and responses to bad requests."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, NamedTuple
@@ -23,7 +23,7 @@
 
 
 class ServerLimits(NamedTuple):
-    """Bounds of a server; bytes, counts and seconds."""
+    """Limits of a server, in bytes, connections and seconds."""
 
     head_bytes: int
     connections: int
@@ -33,7 +33,7 @@
 
 
 class HttpServer:
-    """Serves one listening address."""
+    """Serves HTTP on one address."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         self._idle_tasks: set[curio.Task] = set()
 
     def set_limits(self, limits: ServerLimits) -> None:
-        """Put other bounds in force, for connections that stand as well."""
+        """Replace the limits, for open connections too."""
         self._limits = limits
 
     async def async_serve(self, runtime: Runtime) -> None:
@@ -63,12 +63,12 @@
         await self._listener.async_serve(runtime)
 
     async def async_close(self) -> None:
-        """Accept no further connections; those that stand go on."""
+        """Stop accepting connections; open ones continue."""
         if self._listener is not None:
             await self._listener.async_close()
 
     async def async_drain(self) -> None:
-        """Keep no connection open after its present request; end the idle ones."""
+        """Close each connection after its current request and idle ones now."""
         self.draining = True
         for task in list(self._idle_tasks):
             await task.cancel(blocking=False)
@@ -79,8 +79,8 @@
             await _async_reject(sock)
             return
         limits = self._limits
-        # A caller may stop reading for as long as a writing may wait, and somewhat
-        # longer while all it has not read fits into the kernel.
+        # A caller may stop reading for as long as a write may wait, and somewhat longer
+        # while the kernel's buffers hold all unread bytes.
         try:
             enable_keepalive(sock, max(1, int(limits.write_timeout)) * 2)
         except OSError:
@@ -115,11 +115,11 @@
                 return
 
     async def _async_has_more(self, connection: ServerConnection) -> bool:
-        """Wait for the next request's first bytes; False to close in silence.
+        """Wait for the next request; return False to close without a response.
 
-        An answer 408 to an idle connection could be taken for the answer to a
-        request that the caller sends at that moment. A stop of the process ends
-        idle connections at once.
+        The caller could take a 408 on an idle connection for the response to a request
+        that it sends at that moment. Idle connections are closed at once when the
+        process stops.
         """
         if connection.h11.trailing_data[0]:
             return True
@@ -160,9 +160,9 @@
         )
 
     def _check_size(self, event: Any) -> None:
-        """Refuse a head over the bound that came in one piece.
+        """Reject a head over the limit that arrived in one piece.
 
-        h11 looks at the bound only while a head is not complete.
+        h11 checks the limit only while a head is incomplete.
         """
         if not isinstance(event, h11.Request):
             return
@@ -196,15 +196,15 @@
         except (CallerGoneError, BrokenInvariantError, curio.CancelledError):
             raise
         except Exception:
-            # A fault in the serving of one request must not end the others; the
-            # caller sees a cut, never an answer that looks whole.
+            # An error in one request must not affect others. The caller sees a reset
+            # connection, never a response that looks complete.
             self._metrics.count(const.METRIC_HANDLER_ERROR)
-            logging.exception("serving %s failed", exchange.head.path)
+            logging.exception("handler for %s failed", exchange.head.path)
             await exchange.async_cut()
 
 
 def _origin_form(target: str) -> str:
-    """Return path and query of a target that also names scheme and host."""
+    """Return path and query of a target that may also have scheme and host."""
     if not target.lower().startswith(("http://", "https://")):
         return target
     rest = target.partition("://")[2]
@@ -213,7 +213,7 @@
 
 
 async def _async_reject(sock: Any) -> None:
-    """Answer a connection over the bound, without reading its request."""
+    """Refuse a connection over the limit without reading its request."""
     try:
         await sock.sendall(const.REJECT_RESPONSE)
         await sock.shutdown(socket.SHUT_WR)
--- a/tests/components/http/builders.py
+++ b/tests/components/http/builders.py
@@ -1,4 +1,4 @@
-"""Builders of a server on loopback and of raw callers."""
+"""Builders for a server on loopback and for raw callers."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
@@ -24,7 +24,7 @@
 async def serving(
     handler: Callable[[Any], Any], limits: ServerLimits = LIMITS
 ) -> AsyncIterator[tuple[HttpServer, int]]:
-    """Serve a handler of exchanges; yield the server and its port."""
+    """Run a server with an exchange handler; yield the server and its port."""
     port = free_port()
     server = HttpServer(Address("127.0.0.1", port), limits, handler, FakeMetrics())
     task = await curio.spawn(server.async_serve, FailureRecorder())
@@ -36,7 +36,7 @@
 
 
 async def async_read(sock: Any) -> bytes:
-    """Read until the server ends; a reset is added as the word RESET."""
+    """Read until the server closes; append RESET after a connection reset."""
     parts = []
     try:
         while data := await sock.recv(65536):
@@ -47,7 +47,7 @@
 
 
 async def async_send(port: int, data: bytes) -> bytes:
-    """Send bytes on a new connection, and read until the server ends."""
+    """Send bytes on a new connection and read until the server closes."""
     sock = await curio.open_connection("127.0.0.1", port)
     async with curio.timeout_after(10.0):
         await sock.sendall(data)
--- a/tests/components/http/test_server.py
+++ b/tests/components/http/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of the server's connections, with raw callers on loopback."""
+"""Tests of the HTTP server with raw callers on loopback."""
 
 from typing import Any
 
@@ -31,11 +31,10 @@
 
 
 def test_refusal_reaches_a_caller_that_is_still_sending():
-    """A caller with a wrong token sees a broken connection instead of 401.
+    """A refused caller must get the 401 although it is still sending its body.
 
-    It sends a large body while the refusal is on its way. The server closes with
-    bytes unread, so that the kernel sends a reset, and the reset takes away the
-    answer that the caller has not read yet.
+    If the server closes with unread bytes, the kernel sends a reset, which discards the
+    response that the caller has not read yet.
     """
     size = 4_000_000
     head = f"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: {size}\r\n\r\n"
@@ -44,27 +43,27 @@
     assert not answer.endswith(b"RESET")
 
 
-def test_idle_connection_ends_in_silence():
-    """A caller takes a timeout answer for the answer to its next request.
+def test_idle_connection_closes_without_a_response():
+    """An idle connection must be closed without a 408.
 
-    Its connection is idle for long; the server answers 408 to nothing and closes,
-    just as the caller sends a request, which then seems to be refused.
+    A caller that sends its next request at that moment would take the 408 for the
+    response to it, so that the request seems to be refused.
     """
     answer = ask(GET)
     assert answer.count(b"HTTP/1.1") == 1
 
 
-def test_pipelined_requests_are_answered_in_order():
+def test_pipelined_requests_get_responses_in_order():
     answer = ask(GET + GET.replace(b"/a", b"/b"))
     assert answer.count(OK) == 2
     assert answer.index(b"/a") < answer.index(b"/b")
 
 
-def test_idle_connections_end_at_a_stop():
-    """A stopping host keeps callers' connections until it is gone.
+def test_drain_closes_idle_connections():
+    """A stopping host must close idle connections when it starts to drain.
 
-    Their next requests meet a connection that breaks, and whether they ran is
-    not known to the callers.
+    Otherwise the next requests are sent on connections that then break, and the callers
+    don't know whether these requests ran.
     """
 
     async def async_main() -> bytes:
@@ -88,42 +87,42 @@
     assert b"connection: close" in answer.lower()
 
 
-def test_connection_over_the_bound_is_told():
+def test_connection_over_the_limit_gets_503():
     assert ask(GET, connections=0).startswith(b"HTTP/1.1 503")
 
 
-def test_slow_body_of_a_head_request():
-    """A request that says HEAD and sends half a body gets no answer at all.
+def test_slow_body_of_a_head_request_gets_408():
+    """A HEAD request with half a body must get a response.
 
-    The answer 408 has a body, which HEAD does not allow; the fault that this
-    raises ends the connection.
+    The 408 has a body, which HEAD does not allow; the error that this raised closed the
+    connection without a response.
     """
     request = b"HEAD /a HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nhalf"
     assert ask(request).startswith(b"HTTP/1.1 408")
 
 
-def test_target_with_scheme_and_host():
+def test_target_with_scheme_and_host_is_accepted():
     request = b"GET http://x:1/a?q=1 HTTP/1.1\r\nHost: x\r\n\r\n"
     assert ask(request + b"").startswith(OK)
     assert b"\r\n\r\n/a?q=1" in ask(request)
 
 
-def test_body_is_asked_for():
+def test_expect_continue_is_supported():
     head = b"POST /a HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\n"
     answer = ask(head + b"Content-Length: 2\r\n\r\nhi")
     assert answer.startswith(b"HTTP/1.1 100 ") or OK in answer
 
 
-def test_old_caller_gets_its_answer():
+def test_http_1_0_caller_gets_a_response():
     assert OK in ask(b"GET /a HTTP/1.0\r\n\r\n")
 
 
-def test_head_over_the_bound():
+def test_head_over_the_limit_gets_431():
     request = b"GET /a HTTP/1.1\r\nHost: x\r\nX: " + b"y" * 20_000 + b"\r\n\r\n"
     assert ask(request).startswith(b"HTTP/1.1 431")
 
 
-def test_slow_head():
+def test_slow_head_gets_408():
     assert ask(b"GET /a HT").startswith(b"HTTP/1.1 408")
 
 
@@ -140,12 +139,12 @@
     assert curio.run(async_main).startswith(OK)
 
 
-def test_caller_whose_host_is_gone_is_noticed():
-    """An engine works for a quarter of an hour on answers that nobody can get.
+def test_caller_connections_use_keepalive():
+    """Connections of callers that lost their network must break.
 
-    Callers' hosts lose their network and send no reset. Their connections stand
-    open, and a request that waits or streams slowly goes on. Loopback can't lose
-    packets, so this looks at what the kernel was told.
+    Their hosts send no reset, so the connections stayed open and requests that waited
+    or streamed slowly continued: an engine worked for 15 minutes on responses that
+    nobody could receive. Loopback can't lose packets, so this checks the socket options.
     """
     found = []
 
@@ -159,6 +158,6 @@
     assert found == [1, 2000]
 
 
-def test_write_timeout_of_days_keeps_the_server_serving():
-    """The kernel takes at most 127 probes; more would fail every connection."""
+def test_write_timeout_of_days_does_not_fail_connections():
+    """The kernel accepts at most 127 probes; more would fail every connection."""
     assert OK in ask(GET, write_timeout=5_000_000.0)
