--- a/bench/arrivals.py
+++ b/bench/arrivals.py
@@ -1,4 +1,4 @@
-"""Requests as callers send them, and the capacity of a pool for them."""
+"""Generates the requests of callers, and computes the capacity of a pool for them."""
 
 from functools import lru_cache
 
@@ -27,17 +27,17 @@
 
 
 def prefix_levels(tokens: int) -> int:
-    """Return how many named prefixes a prompt of that many tokens has."""
+    """Return the number of hashed prefixes of a prompt with that many tokens."""
     return max(0, (tokens // FIRST_PREFIX_TOKENS).bit_length())
 
 
 def prefix_tokens(level: int) -> int:
-    """Return the tokens of the prefix at a level, counted from 0."""
+    """Return the number of tokens of the prefix at a level, counted from 0."""
     return FIRST_PREFIX_TOKENS << level
 
 
 def make_hashes(prompt: int, shared: int, document: int, number: int) -> tuple:
-    """Return the names of a prompt's prefixes; those in the document are shared."""
+    """Return the hashes of a prompt's prefixes; those of the document are shared."""
     shared_levels = prefix_levels(shared)
     return tuple(
         DOCUMENT_HASH | document << LEVEL_BITS | level
@@ -50,10 +50,11 @@
 def arrival_times(
     rate: float, duration: float, bursty: bool, rng: np.random.Generator
 ) -> np.ndarray:
-    """Return sorted points in time of a Poisson process of that mean rate.
+    """Return the sorted arrival times of a Poisson process with that mean rate.
 
-    With bursts, every BURST_PERIOD has one stretch of BURST_SECONDS at
-    BURST_FACTOR times the mean rate, at a random place; the rest gets less.
+    With bursts, every BURST_PERIOD has one burst of BURST_SECONDS at BURST_FACTOR times
+    the mean rate, at a random offset; the rate outside of bursts is lower, so that the
+    mean stays the same.
     """
     count = rng.poisson(rate * duration)
     if not bursty:
@@ -110,7 +111,7 @@
             prompt=prompt,
             prompt_estimate=max(1, int(prompt * errors[number])),
             output=output,
-            # Nothing is known of the answer of a plain service.
+            # The output of a plain service can't be estimated.
             output_estimate=1 if plain else max(1, int(limit)),
             shared=shared,
             deadline=kind.deadline * tier.deadline_factor,
@@ -131,13 +132,13 @@
 
 
 def _shares(weighted: tuple) -> np.ndarray:
-    """Return the weights of some specs as fractions of one."""
+    """Return the normalized weights of some specs."""
     weights = np.array([item.weight for item in weighted])
     return weights / weights.sum()
 
 
 def usable_batch(profile: UpstreamProfile, requests: list[OfferedRequest]) -> float:
-    """Return the sequences that fit a batch: its slots, or what memory allows."""
+    """Return the batch size that slots and KV cache memory allow."""
     if profile.plain:
         return profile.slots
     held = sum(
@@ -150,9 +151,9 @@
 def engine_seconds(
     profile: UpstreamProfile, request: OfferedRequest, batch: float
 ) -> float:
-    """Return the seconds of an upstream that a request takes up, batch full.
+    """Return the upstream time in seconds that a request takes in a full batch.
 
-    The shared part of the prompt counts as cached already.
+    The shared part of the prompt is assumed to be cached.
     """
     prefill = (request.prompt - request.shared) / profile.prefill_speed
     return prefill + request.output * profile.step(batch) / batch
@@ -160,10 +161,10 @@
 
 @lru_cache
 def capacity(pool_name: str) -> float:
-    """Return the requests a second that a pool can serve at the very most.
+    """Return an upper bound of the requests per second that a pool can serve.
 
-    Every batch is full, every shared prefix is cached, and each request costs
-    its prefill and its part of the decode steps on the upstream it runs on.
+    It assumes that every batch is full, that every shared prefix is cached, and that
+    each request costs its prefill and its part of the decode steps of its upstream.
     """
     pool = POOLS_BY_NAME[pool_name]
     requests = make_requests(pool, CAPACITY_SAMPLE, 1.0, False, CAPACITY_SEED)
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -1,7 +1,7 @@
-"""Ways to choose an upstream that others use, for comparison.
+"""Common load balancing algorithms, as baselines to compare with.
 
-Each sends a request on at once, as a load balancer does: the queue is in the
-upstream, first come, first served, and knows no tiers.
+Each forwards a request at once, as a load balancer does: requests queue in the
+upstream, first come, first served, without tiers.
 """
 
 import numpy as np
@@ -17,7 +17,7 @@
 
 
 class Baseline:
-    """Grants every request at once; subclasses choose the upstream."""
+    """Grants every request at once; subclasses pick the upstream."""
 
     def __init__(self, rng: np.random.Generator) -> None:
         self._rng = rng
@@ -31,7 +31,7 @@
         raise NotImplementedError
 
     def register(self, request: WaitingRequest, now: float) -> list[Decision]:
-        """Grant at once, or when the first upstream has announced itself."""
+        """Grant at once, or as soon as the first upstream has announced itself."""
         if not self._states_by_name:
             self._waiting.append(request)
             return []
@@ -49,20 +49,20 @@
         ]
 
     def cancel(self, request_id: str, now: float) -> list[Decision]:
-        """Count a request no more."""
+        """Stop counting a request as outstanding."""
         name = self._upstream_by_id.pop(request_id, None)
         if name is not None:
             self._outstanding_by_name[name] -= 1
         return []
 
     def started(self, request_id: str, now: float) -> list[Decision]:
-        """Note nothing."""
+        """Do nothing."""
         return []
 
     def returned(
         self, request_id: str, reason: str, waiting: bool, now: float
     ) -> list[Decision]:
-        """Count a request no more."""
+        """Stop counting a request as outstanding."""
         return self.cancel(request_id, now)
 
     def progress(
@@ -72,17 +72,17 @@
         now: float,
         first: float | None = None,
     ) -> list[Decision]:
-        """Note nothing."""
+        """Do nothing."""
         return []
 
     def finished(self, completion: Completion, now: float) -> list[Decision]:
-        """Count a request no more."""
+        """Stop counting a request as outstanding."""
         return self.cancel(completion.request_id, now)
 
     def adopt_running(
         self, request: WaitingRequest, upstream: str, output_tokens: int, now: float
     ) -> list[Decision]:
-        """Count a request that runs."""
+        """Count a running request as outstanding."""
         self._count(request.request_id, upstream)
         return []
 
@@ -99,7 +99,7 @@
     def set_limits(
         self, limits_by_workspace: dict[str, WorkspaceLimits], now: float
     ) -> list[Decision]:
-        """Know no limits."""
+        """Ignore the limits."""
         return []
 
     def tick(self, now: float) -> list[Decision]:
@@ -107,11 +107,11 @@
         return []
 
     def next_wake(self, now: float) -> float:
-        """Return a time that never comes."""
+        """Return infinity: there are no ticks."""
         return float("inf")
 
     def describe(self, now: float) -> dict[str, object]:
-        """Return the outstanding requests."""
+        """Return the number of outstanding requests by upstream."""
         return dict(self._outstanding_by_name)
 
     def _count(self, request_id: str, name: str) -> None:
@@ -120,14 +120,14 @@
         self._outstanding_by_name[name] = before + 1
 
     def _pick_least(self, value_by_name: dict[str, float]) -> str:
-        """Return the name with the least value, ties broken at random."""
+        """Return the name with the minimum value; break ties at random."""
         least = min(value_by_name.values())
         names = [name for name, value in value_by_name.items() if value == least]
         return names[int(self._rng.integers(len(names)))]
 
 
 class Random(Baseline):
-    """Any upstream."""
+    """Picks an upstream at random."""
 
     def pick(self) -> str:
         """Return the name of the upstream for the next request."""
@@ -136,7 +136,7 @@
 
 
 class RoundRobin(Baseline):
-    """One upstream after the other."""
+    """Picks one upstream after the other."""
 
     _next = 0
 
@@ -148,7 +148,7 @@
 
 
 class LeastReportedLoad(Baseline):
-    """The upstream whose newest report is the lowest for its slots."""
+    """Picks the upstream with the lowest load per slot in its newest load report."""
 
     def pick(self) -> str:
         """Return the name of the upstream for the next request."""
@@ -163,7 +163,7 @@
 
 
 class LeastOutstanding(Baseline):
-    """The upstream with the fewest own requests for its slots."""
+    """Picks the upstream with the fewest requests of this scheduler per slot."""
 
     def pick(self) -> str:
         """Return the name of the upstream for the next request."""
--- a/bench/cache.py
+++ b/bench/cache.py
@@ -7,10 +7,10 @@
 
 
 class PrefixCache:
-    """Named prefixes in limited memory; the least recently used go first.
+    """An LRU cache of prompt prefixes with a limited number of tokens.
 
-    Each entry holds the tokens by which it is longer than the one before it.
-    changes collects what the engine will publish.
+    Each entry counts the tokens by which its prefix is longer than the one before it.
+    changes collects the cache events that the engine will publish.
     """
 
     def __init__(self, tokens: int) -> None:
@@ -21,14 +21,14 @@
         self.changes: list[CacheChange] = []
 
     def cached_tokens(self, prefix_hashes: tuple[int, ...]) -> int:
-        """Return the length of the longest of these prefixes that is held."""
+        """Return the length in tokens of the longest cached one of these prefixes."""
         for level in range(len(prefix_hashes) - 1, -1, -1):
             if prefix_hashes[level] in self._tokens_by_hash:
                 return prefix_tokens(level)
         return 0
 
     def store(self, prefix_hashes: tuple[int, ...]) -> None:
-        """Hold these prefixes, the shortest as the most recently used."""
+        """Store these prefixes, the shortest one as the most recently used."""
         for level in range(len(prefix_hashes) - 1, -1, -1):
             self._store(prefix_hashes[level], level)
         while self._tokens > self._limit:
--- a/bench/cases.py
+++ b/bench/cases.py
@@ -1,4 +1,4 @@
-"""The cases that a run may be in."""
+"""The cases (loads and faults) that a run can simulate."""
 
 from bench.models import CaseSpec
 
@@ -17,4 +17,4 @@
 
 LOADS = (0.5, 0.8, 1.0, 1.5, 3.0)
 UNLOADED_LOAD = 0.2
-"""The load of the runs that say what a tier gets when nothing is in its way."""
+"""Load of the runs that measure each tier without contention."""
--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -1,4 +1,7 @@
-"""Requests under kills and stops of entry processes, counted at the stand-ins."""
+"""Sends requests while entry processes are killed or stopped, and counts their runs.
+
+The stand-ins record the runs of each request.
+"""
 
 import random
 import signal
@@ -23,7 +26,7 @@
 
 
 class Chaos:
-    """One run; the hosts named c… are disturbed, one or two at a time."""
+    """One run; the hosts named c… get faults, one or two at a time."""
 
     def __init__(
         self, deployment: Deployment, count: int, workers: int, seed: int
@@ -38,7 +41,7 @@
         self._done = threading.Event()
 
     def run(self) -> dict[str, Any]:
-        """Run all requests and return the counts."""
+        """Send all requests and return the counts."""
         disturbing = threading.Thread(target=self._inject_faults)
         disturbing.start()
         begun = time.perf_counter()
@@ -81,7 +84,7 @@
                 await curio.sleep(KEYED_PAUSE_S)
 
     async def _async_send(self, request: Request) -> Result:
-        """Send to some host; one that refuses the connection got nothing."""
+        """Send to a random host; try the next one if it refuses the connection."""
         hosts = self._random.sample(self._hosts, len(self._hosts))
         for host in hosts:
             result = await async_request(host.ports["caller"], request, TIMEOUT_S)
@@ -140,7 +143,7 @@
 
 
 def describe_result(result: Result) -> str:
-    """Return in short what a caller heard."""
+    """Return a short description of the response that a caller got."""
     if not result.sent:
         return "no host"
     if result.status == 0:
@@ -152,7 +155,7 @@
 
 
 def find_faults(request: Request, results: list[Result], ran: int) -> list[str]:
-    """Return which promises a request's answers and runs break."""
+    """Return which guarantees a request's responses and runs violate."""
     faults = []
     if ran > 1:
         faults.append("ran more than once")
@@ -162,8 +165,9 @@
             faults.append("wrong, mixed or short without a visible cut")
         if whole and ran == 0:
             faults.append("answered but never ran")
-    # Only the last word counts for a key that was sent more than once: the first
-    # copy may truly not have run before the second one did.
+    # If a request with an idempotency key was sent more than once, only the last
+    # response counts: the first copy may not have run when it was answered not-run,
+    # and the second one may have run later.
     last = results[-1]
     if last.outcome == "not-run" and ran:
         faults.append("not-run that had run")
--- a/bench/client.py
+++ b/bench/client.py
@@ -1,4 +1,4 @@
-"""A caller for measurements: one request, and what came of it."""
+"""An HTTP client for measurements that sends one request per connection."""
 
 import json
 import time
@@ -15,7 +15,7 @@
 
 
 class Request(NamedTuple):
-    """A request, with what tells its runs from those of others."""
+    """A request; method, target and body identify its runs."""
 
     method: str
     target: str
@@ -24,10 +24,10 @@
 
 
 class Result(NamedTuple):
-    """What a caller saw; times in seconds from before the connection was opened.
+    """The response to a request; times in seconds from before the connection is opened.
 
-    status is 0 when nothing of an answer came, sent tells whether any byte left.
-    cut is true when the caller can see that the answer is unfinished.
+    status is 0 if no response arrived; sent is true if any byte of the request was
+    sent. cut is true if the caller can see that the response is incomplete.
     """
 
     sent: bool
@@ -41,7 +41,7 @@
 
 
 async def async_request(port: int, request: Request, timeout: float) -> Result:
-    """Send a request on a connection of its own and follow the answer."""
+    """Send a request on its own connection and read the response."""
     begun = time.perf_counter()
     seen = _PartialResponse()
     try:
@@ -70,7 +70,7 @@
 
 
 class _PartialResponse:
-    """What has come so far."""
+    """The part of the response that has arrived so far."""
 
     def __init__(self) -> None:
         self.sent = False
@@ -113,7 +113,7 @@
 
 
 def is_correct(request: Request, result: Result) -> bool:
-    """Tell whether a body is the whole and true answer to a request."""
+    """Return whether a body is the complete and correct response to a request."""
     body = result.body
     if not request.target.startswith("/v1/"):
         expected = responses.plain_response(
@@ -129,7 +129,7 @@
 async def async_each(
     items: Iterable[Any], workers: int, work: Callable[[Any], Awaitable[None]]
 ) -> None:
-    """Work on items with a bounded number of workers at once."""
+    """Process items with a bounded number of concurrent workers."""
     iterator = iter(items)
 
     async def async_worker() -> None:
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,7 +1,7 @@
-"""Measures the control part alone: figures as JSON on standard output.
+"""Measures the control component alone; prints JSON.
 
-Heartbeats go through the product's coordinators and the codec, without sockets
-and without a replicated log: the cost of those is measured with whole processes.
+Heartbeats pass through the product's coordinators and the codec, without sockets and
+without a replicated log; bench.control_system measures these with whole processes.
 Run from the root of the project: python -m bench.control
 """
 
@@ -108,7 +108,7 @@
 
 
 async def async_measure_synced_claims(folder: Path, together: int) -> dict[str, Any]:
-    """Commit claims to a synced log of one replica, some at the same time."""
+    """Commit claims concurrently to the synced log of a single replica."""
     state = ControlState()
     runtime = make_runtime(1, RuntimeClock())
     runtime.settings = runtime.settings._replace(data_folder=folder / str(together))
--- a/bench/control_cost.py
+++ b/bench/control_cost.py
@@ -1,4 +1,4 @@
-"""What control costs, and how long a restart and a repair take, by size."""
+"""Measures the cost of control, and the time of restarts and repairs by log size."""
 
 import time
 import uuid
@@ -21,19 +21,19 @@
 @cappa.command(name="cost")
 @dataclass
 class Cost:
-    """What control costs a node that has nothing else to do, and a change."""
+    """Cost of control at nodes without other load, when idle and under changes."""
 
     nodes: Annotated[int, cappa.Arg(long=True)] = 9
     seconds: Annotated[float, cappa.Arg(long=True)] = 15.0
     changes_s: Annotated[float, cappa.Arg(long=True)] = 2.0
     workspaces: Annotated[int, cappa.Arg(long=True)] = 0
-    """Workspaces besides the two that each configuration here has."""
+    """Workspaces in addition to the two of each configuration here."""
 
     def run(self, deployment: ControlDeployment) -> dict[str, Any]:
-        """Read processor time, memory and the links' counters twice."""
+        """Read processor time, memory and link counters before and after each phase."""
         others = {f"n{number}": "entry,dispatch" for number in range(self.nodes - 3)}
-        # A host that finds no control has all parts but no session and no
-        # configuration: what it lacks in memory is what control takes.
+        # A host that can't reach control has all components but no session and no
+        # configuration. The memory that it uses less is the memory cost of control.
         deployment.sessionless = {"alone"}
         deployment.start_all(
             others | {"alone": "entry,dispatch"}, "entry,dispatch", False
@@ -105,13 +105,13 @@
 @cappa.command(name="recovery")
 @dataclass
 class Recovery:
-    """Times of a restart and of the repair of a lost disk, against the size."""
+    """Time of a restart, and of the repair after a lost disk, by log size."""
 
     claims: Annotated[list[int], cappa.Arg(long=True)] = ()  # type: ignore[assignment]
     snapshot_entries: Annotated[int, cappa.Arg(long=True)] = 10_000
 
     def run(self, deployment: ControlDeployment) -> dict[str, Any]:
-        """Fill the log step by step; restart a follower, all, and lose a disk."""
+        """Fill the log in steps; restart a follower, restart all, and lose a disk."""
         deployment.snapshot_entries = self.snapshot_entries
         deployment.start_all({}, "entry,dispatch", proxied=False)
         taken, rows = 0, []
--- a/bench/control_fleet.py
+++ b/bench/control_fleet.py
@@ -1,4 +1,4 @@
-"""Costs of heartbeats: one leader and some nodes, in memory, through the codec."""
+"""Measures heartbeats of one leader and many nodes, in memory, through the codec."""
 
 import time
 from collections.abc import Callable
@@ -27,12 +27,12 @@
 ROUNDS_OF_HEARTBEATS = 20
 CHANGES_A_DAY = 1100
 NODE_CHANGES_A_DAY = 2 * (240 + 7)
-"""A host that goes and a host that comes are two changes of the directory."""
+"""A host that leaves and a host that joins are two changes of the directory."""
 DAY = 86400
 
 
 class Fleet:
-    """One leader and some nodes, with the bytes that would cross the links."""
+    """One leader and its nodes; counts the bytes that the links would carry."""
 
     def __init__(self, nodes: int, workspaces: int) -> None:
         self.clock = ManualClock()
@@ -59,7 +59,7 @@
         self.changes += 1
 
     async def async_round(self) -> None:
-        """Have each node send one heartbeat; add up time and bytes."""
+        """Send one heartbeat from each node; add up processor time and bytes."""
         heartbeats = self._time_nodes(
             lambda: [encode(node.make_heartbeat()) for node in self.nodes]
         )
@@ -93,7 +93,7 @@
         return result
 
     async def async_measure_rounds(self, rounds: int) -> dict[str, float]:
-        """Return costs of one heartbeat, over some rounds."""
+        """Return the mean cost of one heartbeat over a number of rounds."""
         self.leader_seconds = self.node_seconds = 0.0
         self.bytes_up = self.bytes_down = 0
         for _ in range(rounds):
@@ -152,7 +152,10 @@
     steady: dict[str, float],
     *fields: str,
 ) -> float:
-    """Return the mean cost a second of one node, what is special on top."""
+    """Return the mean cost per second of one node.
+
+    A change or a directory adds the extra cost of the heartbeat that carries it.
+    """
     total = 0.0
     for kind, count in day.items():
         for field in fields:
@@ -162,7 +165,7 @@
 
 
 def measure_sessions() -> dict[str, int]:
-    """Return the memory of a session at the leader and a host at a node."""
+    """Return the memory of one session at the leader and of one host at a node."""
 
     def build() -> Fleet:
         fleet = Fleet(320, 5)
--- a/bench/control_load.py
+++ b/bench/control_load.py
@@ -1,4 +1,4 @@
-"""Claims and changes that the measurements of control send."""
+"""Claims and configuration changes for the measurements of control."""
 
 import uuid
 from typing import Any
@@ -30,7 +30,7 @@
 
 
 def make_change(base: int, number: int, workspaces: int = 0) -> Any:
-    """Return the message of a change with an id of its own."""
+    """Return the message of a change with a unique id."""
     return messages.Change(
         change_id=uuid.uuid4().hex,
         base_version=base,
@@ -39,7 +39,7 @@
 
 
 async def async_take_claims(deployment: ControlDeployment, count: int) -> None:
-    """Have so many claims taken, 256 at once."""
+    """Take a number of claims, 256 at a time."""
     client = deployment.make_client()
     left = iter(range(count))
 
--- a/bench/control_parts.py
+++ b/bench/control_parts.py
@@ -1,4 +1,4 @@
-"""Stand-ins and commands for measuring the control part without other processes."""
+"""Stubs and commands for measuring the control component in one process."""
 
 import gc
 import json
@@ -35,7 +35,7 @@
 
 
 class LocalLog:
-    """Commits at once in memory."""
+    """A replicated log that commits at once in memory."""
 
     def __init__(self, state: ControlState) -> None:
         self._state = state
@@ -81,7 +81,7 @@
 
 
 def make_document(workspaces: int, number: int = 0) -> dict[str, Any]:
-    """Return a valid document; number changes one label of one workspace."""
+    """Return a valid document; number sets one label of one workspace."""
     names = ["canopy-llm", "map", "underwriting"]
     services = {
         name: {"kind": "engine", "paths": [f"/{name}/v1"], "labels": {}}
@@ -139,7 +139,7 @@
 
 
 def measure_allocation(call: Callable[[], Any]) -> tuple[Any, int]:
-    """Return the result of a call and the bytes that it left allocated."""
+    """Return the result of a call and the bytes that stay allocated."""
     gc.collect()
     tracemalloc.start()
     result = call()
--- a/bench/control_setup.py
+++ b/bench/control_setup.py
@@ -25,7 +25,7 @@
 
 
 class ControlDeployment(Deployment):
-    """Runs with the product's own timings, but for those given."""
+    """A deployment with the product's default timings, apart from those set here."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder)
@@ -44,7 +44,7 @@
     def start_all(
         self, others: dict[str, str], replica_roles: str, proxied: bool
     ) -> None:
-        """Start three replicas and other hosts, by name with their roles."""
+        """Start three replicas and other hosts; others maps their names to roles."""
         for name in REPLICAS:
             self.add_host(name, {"roles": f"{replica_roles},control"}, proxied)
         for name, roles in others.items():
@@ -64,12 +64,12 @@
         return self.apply(host, builders.config_document()) == 200
 
     def ready(self, name: str) -> bool:
-        """Tell whether a host takes new work."""
+        """Return whether a host accepts new requests."""
         port = self.hosts_by_name[name].ports["caller"]
         return self.send_request(port, "GET", "/readyz")[0] == 200
 
     def control(self, names: Iterable[str] = REPLICAS) -> dict[str, Any]:
-        """Return what the leader tells of control, asked at the first that can."""
+        """Return the leader's status of control, from the first host that responds."""
         for name in names:
             port = self.hosts_by_name[name].ports["operator"]
             status, body, _ = self.send_request(port, "GET", "/v1/control")
@@ -78,7 +78,7 @@
         return {}
 
     def failure_tolerance(self, names: Iterable[str] = REPLICAS) -> int | None:
-        """Return how many further losses are survived now."""
+        """Return how many more replicas can be lost without losing the quorum."""
         found = self.control(names)
         return found["control"]["log"]["survives_losses"] if found else None
 
@@ -94,7 +94,7 @@
         raise TimeoutError("no leader")
 
     def state(self, name: str) -> dict[str, Any]:
-        """Return the dump of a host, empty when there is none."""
+        """Return the state dump of a host, empty if there is none."""
         port = self.hosts_by_name[name].ports["operator"]
         status, body, _ = self.send_request(port, "GET", "/v1/state")
         return dict(body) if status == 200 else {}
@@ -105,7 +105,7 @@
         return int(counters.get(counter, 0))
 
     def cpu(self, name: str) -> float:
-        """Return the processor seconds that a host has used."""
+        """Return the processor time in seconds that a host has used."""
         return cpu_seconds(self.process(name).pid)
 
     def resident(self, name: str) -> int:
@@ -113,7 +113,7 @@
         return resident_kb(self.process(name).pid)
 
     def make_client(self) -> ControlClient:
-        """Return a client on the internal ports, to be used under curio."""
+        """Return a client of the internal ports, for use with curio."""
         told = [f"127.0.0.1:{self.hosts_by_name[n].advertised_port}" for n in REPLICAS]
         own = Address("127.0.0.1", free_port())
         key = (self.folder / "internal.key").read_bytes().strip()
@@ -132,7 +132,7 @@
 
 
 def wait_for(what: str, ready: Callable[[], bool], timeout: float = 60.0) -> float:
-    """Wait until something holds; return the seconds that it took."""
+    """Wait until a condition is true; return the seconds that it took."""
     begun = time.monotonic()
     while not ready():
         if time.monotonic() - begun > timeout:
@@ -157,7 +157,7 @@
 async def async_measure_rate(
     workers: int, seconds: float, async_one: Callable[[int], Any]
 ) -> dict[str, Any]:
-    """Call with ever new numbers, several at once; return rate and latency."""
+    """Call concurrently with increasing numbers; return rate and latency."""
     times: list[float] = []
     results: dict[str, int] = {}
     until = time.monotonic() + seconds
@@ -186,7 +186,7 @@
 
 
 def config_bytes(number: int, workspaces: int = 0) -> bytes:
-    """Return a configuration that no other number has, with more workspaces."""
+    """Return a configuration that is unique to a number, with more workspaces."""
     document = builders.config_document()
     for count in range(workspaces):
         token = hashlib.sha256(str(count).encode()).hexdigest()
--- a/bench/control_system.py
+++ b/bench/control_system.py
@@ -1,8 +1,8 @@
-"""Figures of control with real processes: `python -m bench.control_system --help`.
+"""Measures control with real processes: `python -m bench.control_system --help`.
 
 Each command starts three replicas with synced logs, and nodes, on loopback, with the
-timings of the product. It prints one JSON document; the figures hold for the machine
-and its load at that time.
+default timings of the product. It prints one JSON document; the figures hold for the
+machine and its load at that time.
 """
 
 import json
@@ -35,7 +35,7 @@
 @cappa.command(name="commits")
 @dataclass
 class Commits:
-    """Changes and claims a second, one at a time and 32 at once."""
+    """Changes and claims per second, with 1, 32 and 256 at once."""
 
     seconds: Annotated[float, cappa.Arg(long=True)] = 8.0
 
@@ -72,12 +72,12 @@
 @cappa.command(name="failover")
 @dataclass
 class Failover:
-    """Time from the killing of the leader until a change is accepted again."""
+    """Time from killing the leader until a change is accepted again."""
 
     tries: Annotated[int, cappa.Arg(long=True)] = 30
 
     def run(self, deployment: ControlDeployment) -> dict[str, Any]:
-        """Kill the leader, ask the others for changes, start it again."""
+        """Kill the leader, send changes to the others, and restart it."""
         deployment.start_all({}, "entry,dispatch", proxied=False)
         times = []
         for number in range(self.tries):
@@ -112,13 +112,13 @@
 @cappa.command(name="in-force")
 @dataclass
 class InForce:
-    """Time from the sending of a change until it is in force on 9 nodes."""
+    """Time from sending a change until it is in force on 9 nodes."""
 
     tries: Annotated[int, cappa.Arg(long=True)] = 30
     tries_cut: Annotated[int, cappa.Arg(long=True)] = 10
 
     def run(self, deployment: ControlDeployment) -> dict[str, Any]:
-        """Watch the version at all nodes; then with one of them cut off."""
+        """Watch the version at all nodes; then again with one node partitioned."""
         nodes = {f"n{number}": "entry,dispatch" for number in range(6)}
         deployment.start_all(nodes, "entry,dispatch", proxied=True)
         whole = [self._change(deployment, number, "") for number in range(self.tries)]
@@ -173,7 +173,7 @@
     def _enforces_version(
         self, deployment: ControlDeployment, name: str, version: int, cut: str
     ) -> bool:
-        """Tell whether a node can send nothing under an older configuration."""
+        """Return whether a node can send nothing under an older configuration."""
         if name == cut:
             return not deployment.ready(name)
         node = deployment.state(name).get("components", {}).get("node", {})
@@ -183,10 +183,10 @@
 @cappa.command(name="goodput")
 @dataclass
 class Goodput:
-    """Requests answered while control can't be reached, under two lease rules.
+    """Requests served while control is unreachable, with two lease durations.
 
-    Callers ask entry hosts; a host of its own owns the pool and stays reachable
-    but for the leader's cut. serving-on is an experiment: leases of an hour.
+    Callers send to entry hosts. A separate host owns the pool; only the leader is
+    partitioned from it, in the case leader-cut. serving-on tries leases of an hour.
     """
 
     seconds: Annotated[float, cappa.Arg(long=True)] = 12.0
@@ -195,7 +195,7 @@
     """host-cut, leader-cut or quorum-lost"""
 
     def run(self, deployment: ControlDeployment) -> dict[str, Any]:
-        """Load the hosts, break something, and compare with before."""
+        """Load the hosts, inject the fault, and compare with the rate before it."""
         if self.serving_on:
             deployment.timings |= {"lease": 3600.0, "owner_lease": 3700.0}
         roles = {"owner": "dispatch", "d": "entry", "e": "entry"}
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -1,7 +1,8 @@
-"""What a request and an announcement cost each role: `python -m bench.cost --help`.
+"""Measures processor time per request and role: `python -m bench.cost --help`.
 
-The slopes feed docs/CAPACITY.md. One host has only the entry role, another owns
-the pools and has control; each one's processor time is read before and after.
+docs/CAPACITY.md uses the figures, also those per announcement. One host has only the
+entry role, another one owns the pools and runs control; the processor time of each is
+read before and after a load.
 """
 
 import json
@@ -27,7 +28,7 @@
 
 @dataclass
 class Cost:
-    """Measure processor time by role, with an idle stretch taken off."""
+    """Measure processor time by role, less that of an idle period."""
 
     requests: Annotated[int, cappa.Arg(long=True)] = 4000
     announcements: Annotated[int, cappa.Arg(long=True)] = 4000
@@ -36,7 +37,7 @@
 
 
 class Measurement:
-    """Runs loads against one deployment and reads what each process used."""
+    """Runs loads against one deployment and reads the processor time of each role."""
 
     def __init__(self, deployment: Deployment, workers: int) -> None:
         self._deployment = deployment
@@ -45,7 +46,7 @@
         self._idle_by_role = self._used(lambda: time.sleep(IDLE_S))
 
     def measure_requests(self, requests: list[Request]) -> dict[str, Any]:
-        """Return the microseconds that one of the requests costs each role."""
+        """Return the processor time of each role per request, in microseconds."""
         failures = 0
 
         async def async_one(request: Request) -> None:
@@ -65,7 +66,7 @@
         return figures
 
     def idle(self) -> dict[str, float]:
-        """Return the part of a core that each role uses without a load."""
+        """Return the fraction of a core that each role uses without load."""
         wall = self._idle_by_role["wall"]
         return {
             role: round(used / wall, 5)
@@ -86,14 +87,14 @@
 
 
 def lookup_request(number: int) -> Request:
-    """Return a short call of the plain service."""
+    """Return a short request to the plain service."""
     token = TOKENS_BY_WORKSPACE["foresters"]
     headers = {"Authorization": f"Bearer {token}", "X-Deadline-Ms": "60000"}
     return Request("GET", f"/lookups/{number}", headers, b"")
 
 
 def announcement_request(number: int) -> Request:
-    """Return an announcement of one of 600 upstreams that leave at once."""
+    """Return an announcement of one of 600 upstreams, all of which are leaving."""
     document = {
         "name": f"n{number % 600}",
         "service": "llm",
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,7 +1,7 @@
-"""The cost of decisions: calls of a scheduler on one core, printed as JSON.
+"""Measures the processor time of scheduling decisions on one core; prints JSON.
 
-A decision is one request from its registration to its end: register, the
-grant, started, progress and finished, with so many requests waiting.
+A decision covers one request from registration to end: register, the grant, started,
+progress and finished, with a constant number of other requests waiting.
 """
 
 import json
@@ -25,7 +25,7 @@
 
 
 class SchedulerLoad:
-    """Keeps a scheduler's upstreams full and so many requests waiting."""
+    """Keeps a scheduler's upstreams full and a number of requests waiting."""
 
     def __init__(self, upstreams: int, waiting: int, seed: int) -> None:
         self.now = 1000.0
@@ -44,7 +44,7 @@
         self.fill_slots()
 
     def add_request(self) -> None:
-        """Have one request arrive."""
+        """Register one new request."""
         self._number += 1
         rng = self._rng
         document = rng.randrange(200)
@@ -63,7 +63,7 @@
         self._apply(self.scheduler.register(request, self.now))
 
     def finish_one(self) -> None:
-        """Have one running request end."""
+        """Finish one random running request."""
         running = self._running
         place = self._rng.randrange(len(running))
         running[place], running[-1] = running[-1], running[place]
@@ -74,12 +74,12 @@
         self._apply(self.scheduler.finished(done, self.now))
 
     def fill_slots(self) -> None:
-        """Announce and tick as time passes, until all slots are in use."""
+        """Advance the time with announcements and ticks until all slots are in use."""
         for _ in range(100):
             self.advance(TICK_EVERY)
 
     def advance(self, seconds: float) -> None:
-        """Let time pass; each upstream announces itself once a second."""
+        """Advance the time; each upstream announces itself once per second."""
         self.now += seconds
         for _ in range(max(1, int(len(self._names) * seconds))):
             self._announced = (self._announced + 1) % len(self._names)
@@ -103,7 +103,7 @@
 
 
 def measure(upstreams: int, waiting: int) -> dict[str, float]:
-    """Return decisions a second of processor time at one size."""
+    """Return the decisions per second of processor time at one size."""
     load = SchedulerLoad(upstreams, waiting, seed=1)
     rate = 10_000.0
     load.decided = 0
@@ -127,7 +127,7 @@
 
 
 def main() -> None:
-    """Measure all sizes and print them."""
+    """Measure all sizes and print the figures."""
     print(json.dumps([measure(*size) for size in SIZES], indent=2))
 
 
--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -1,4 +1,4 @@
-"""The pools of the two deployments, with invented but plausible speeds."""
+"""The pools of two deployments, with invented but plausible speeds."""
 
 from bench.models import PoolSpec, TierSpec, UpstreamProfile, WorkKind
 
@@ -30,7 +30,7 @@
 
 
 def _plain(name: str, zone: str, slots: int, unit: float) -> UpstreamProfile:
-    """Return a plain service whose unit of work takes unit seconds."""
+    """Return a plain service; one unit of work takes unit seconds."""
     return UpstreamProfile(
         name, zone, "plain", slots, 0, 0, float("inf"), unit, 0.0, True
     )
--- a/bench/engine.py
+++ b/bench/engine.py
@@ -1,4 +1,4 @@
-"""A model of an upstream: a continuous batch that knows no priority."""
+"""A model of an upstream: continuous batching without priorities."""
 
 import heapq
 from collections import OrderedDict
@@ -9,17 +9,17 @@
 from bench.models import OfferedRequest, UpstreamProfile
 
 CHUNK_TOKENS = 512
-"""Prompt tokens that are computed along with a decode step, one chunk a step."""
+"""Prompt tokens of one prefill chunk; each decode step computes one chunk."""
 
 NEVER = float("inf")
 EPSILON = 1e-9
 
 
 class Job:
-    """One request in an upstream.
+    """One request at an upstream.
 
-    computed is the prompt tokens whose prefill was done, for a plain service
-    the units of work begun. recomputed is the part of them that some engine of
+    computed is the number of prompt tokens whose prefill was done, or the units of work
+    started by a plain service. recomputed is how many of these tokens some engine of
     the pool had computed before.
     """
 
@@ -53,10 +53,9 @@
 class UpstreamModel:
     """Admits jobs first come, first served, into a batch of limited size.
 
-    Prefill is done for one job after the other, in chunks that lengthen the
-    decode steps. All decoding jobs get a token in each step, so one counter of
-    steps tells the progress of them all. The counter and the prefill advance
-    evenly between two events.
+    Prefill is done for one job at a time, in chunks that lengthen the decode steps.
+    Every decoding job gets one token per step, so a single step counter gives the
+    progress of all of them. Counter and prefill advance linearly between events.
     """
 
     def __init__(
@@ -83,12 +82,12 @@
 
     @property
     def running(self) -> int:
-        """Return the jobs of the batch."""
+        """Return the number of jobs in the batch."""
         return len(self._prefilling) + len(self._decoding)
 
     @property
     def waiting(self) -> int:
-        """Return the jobs that wait for a place in the batch."""
+        """Return the number of jobs that wait for a slot in the batch."""
         return len(self._waiting)
 
     def decoding(self) -> list[Job]:
@@ -96,18 +95,18 @@
         return list(self._decoding.values())
 
     def output_tokens(self, job: Job) -> int:
-        """Return the output tokens that a job has got so far."""
+        """Return the number of output tokens that a job has so far."""
         if job.state == "decoding":
             return min(job.request.output, 1 + int(self._steps - job.start_step))
         return job.request.output if job.state == "done" else 0
 
     def set_speed(self, speed: float, now: float) -> None:
-        """Go on at a fraction of full speed."""
+        """Continue at a fraction of full speed."""
         self.advance(now)
         self.speed = speed
 
     def submit(self, request_id: str, request: OfferedRequest, now: float) -> Job:
-        """Take a job."""
+        """Queue a job, and start it if it fits into the batch."""
         self.advance(now)
         job = Job(request_id, request, self.profile.plain)
         self.jobs_by_id[request_id] = job
@@ -116,7 +115,7 @@
         return job
 
     def cancel(self, request_id: str, now: float) -> None:
-        """End a job early; a plain service can't, and works on."""
+        """End a job early; a plain service can't cancel a running job."""
         self.advance(now)
         job = self.jobs_by_id.get(request_id)
         if job is None:
@@ -134,7 +133,7 @@
         self._admit(now)
 
     def next_event(self) -> float:
-        """Return when the next prefill or decoding ends, if nothing changes."""
+        """Return the time at which the next prefill or decoding ends."""
         prefill_rate, step_rate = self._rates()
         when = NEVER
         if self._prefilling:
@@ -147,7 +146,7 @@
         return when
 
     def advance(self, now: float) -> None:
-        """Bring the model up to a point in time, telling of each event."""
+        """Advance the model to a point in time and call the callbacks of its events."""
         while True:
             when = self.next_event()
             if when > now:
@@ -157,7 +156,7 @@
         self._advance_without_events(now)
 
     def _advance_without_events(self, now: float) -> None:
-        """Let time pass in which nothing ends."""
+        """Advance to a time before which no prefill or decoding ends."""
         seconds = now - self._time
         if seconds <= 0:
             return
@@ -170,7 +169,7 @@
         self._time = now
 
     def _process_due_events(self) -> None:
-        """End the prefill and the decodings that are due."""
+        """End the prefill and the decodings that are due now."""
         now = self._time
         if self._prefilling:
             job = next(iter(self._prefilling.values()))
@@ -194,7 +193,7 @@
         job.state = "decoding"
         job.start_step = self._steps
         self._decoding[job.request_id] = job
-        # The prefill of an engine gives the first token itself.
+        # The prefill of an engine itself produces the first token.
         steps = job.request.output if self.profile.plain else job.request.output - 1
         heapq.heappush(self._end_steps, (self._steps + steps, job.request_id))
         if not self.profile.plain:
@@ -210,7 +209,7 @@
         del self.jobs_by_id[job.request_id]
 
     def _admit(self, now: float) -> None:
-        """Fill the batch in order of arrival while slots and memory allow."""
+        """Fill the batch in order of arrival while slots and memory are free."""
         while self._waiting and self.running < self.profile.slots:
             job = next(iter(self._waiting.values()))
             if self.running and not self._fits(job):
@@ -232,7 +231,7 @@
         self._prefilling[job.request_id] = job
 
     def _computed_tokens(self, prefix_hashes: tuple[int, ...]) -> int:
-        """Return the longest prefix that some engine of the pool computed before."""
+        """Return the tokens of the longest prefix that any engine computed before."""
         longest = 0
         for level, prefix_hash in enumerate(prefix_hashes):
             if prefix_hash not in self._computed_prefixes:
@@ -250,7 +249,7 @@
         return job.request.prompt + job.request.output
 
     def _rates(self) -> tuple[float, float]:
-        """Return prompt tokens and decode steps a second at this moment."""
+        """Return the current prompt tokens per second and decode steps per second."""
         profile = self.profile
         step = profile.step(len(self._decoding))
         if not self._prefilling or profile.plain:
--- a/bench/entry.py
+++ b/bench/entry.py
@@ -1,4 +1,4 @@
-"""What the entry hosts do with requests, in its least form."""
+"""A minimal model of the entry hosts and their callers."""
 
 from bench.engine import Job
 from bench.events import EventLoop
@@ -15,17 +15,16 @@
 
 PROGRESS_SECONDS = 0.5
 REPORT_FIRST_TOKEN = False
-"""Whether the first token is told at once, not with the next progress."""
+"""Whether the first token is reported at once instead of with the next progress."""
 
 DONE = "done"
 CALLER_GONE = "caller-gone"
 
 
 class Attempt:
-    """One request at an entry host; a caller who comes back makes another one.
+    """One request at an entry host; a retry is another attempt.
 
-    outcome is waiting, running, useful, gave-up-waiting, gave-up-running or
-    refused.
+    outcome is waiting, running, useful, gave-up-waiting, gave-up-running or refused.
     """
 
     __slots__ = (
@@ -60,7 +59,7 @@
         self.ended: float | None = None
 
     def waiting_request(self) -> WaitingRequest:
-        """Return what the owner is told of it."""
+        """Return the registration that is sent to the owner."""
         request = self.request
         return WaitingRequest(
             request_id=self.request_id,
@@ -77,7 +76,7 @@
 
 
 class EntryHosts:
-    """All entry hosts at once; each message to the owner takes its delay."""
+    """All entry hosts together; each message to the owner is delayed."""
 
     def __init__(
         self, loop: EventLoop, owner: Owner, delay: float, max_retries: int
@@ -90,7 +89,7 @@
         self.attempts_by_id: dict[str, Attempt] = {}
 
     def accept(self, request: OfferedRequest, retries: int = 0) -> None:
-        """Take a request and register it with the owner."""
+        """Accept a request and register it with the owner."""
         deadline = request.at + request.deadline
         attempt = Attempt(request, retries, self._loop.now(), deadline)
         self.attempts_by_id[attempt.request_id] = attempt
@@ -98,7 +97,7 @@
         self._owner.send("register", attempt.waiting_request())
 
     def handle_decision(self, decision: Decision) -> None:
-        """Act on a decision of the owner."""
+        """Apply a decision of the owner; return a grant that is no longer needed."""
         attempt = self.attempts_by_id[decision.request_id]
         if isinstance(decision, Refused):
             self._refuse(attempt, decision)
@@ -109,7 +108,7 @@
         self._send(attempt, decision)
 
     def reregister(self) -> None:
-        """Tell a new owner all that runs, then all that waits."""
+        """Register all running requests with a new owner, then all waiting ones."""
         open_attempts = [a for a in self.attempts_by_id.values() if a.ended is None]
         for attempt in open_attempts:
             if attempt.outcome == "running":
@@ -124,7 +123,7 @@
                 self._owner.send("register", attempt.waiting_request())
 
     def record_first_token(self, job: Job, now: float) -> None:
-        """Note that an answer has begun."""
+        """Record that a response has started."""
         attempt = self.attempts_by_id[job.request_id]
         if attempt.ended is None:
             attempt.first_token = now
@@ -132,7 +131,7 @@
                 self._owner.send("progress", attempt.request_id, 1)
 
     def record_end(self, job: Job, now: float) -> None:
-        """Note that an answer is whole."""
+        """Record that a response is complete and report it to the owner."""
         attempt = self.attempts_by_id[job.request_id]
         if attempt.ended is not None:
             return
@@ -143,7 +142,7 @@
         self._report_end(attempt, DONE)
 
     def report_progress(self) -> None:
-        """Tell the owner how far the running requests have come, again and again."""
+        """Periodically report the progress of the running requests to the owner."""
         for upstream in self.upstreams_by_name.values():
             for job in upstream.model.decoding():
                 attempt = self.attempts_by_id[job.request_id]
@@ -170,7 +169,7 @@
         attempt.job = upstream.submit(attempt.request_id, attempt.request)
 
     def _handle_deadline(self, attempt: Attempt) -> None:
-        """End a request at its deadline: the caller goes away."""
+        """End a request at its deadline, when the caller disconnects."""
         if attempt.ended is not None:
             return
         running = attempt.outcome == "running"
@@ -185,7 +184,7 @@
             self._loop.after(self._delay, upstream.cancel, attempt.request_id)
 
     def _report_end(self, attempt: Attempt, outcome: str) -> None:
-        """Tell the owner how a request that was sent has ended."""
+        """Report to the owner how a request that was sent has ended."""
         first = attempt.first_token
         plain = attempt.job is None or attempt.job.plain
         completion = Completion(
@@ -211,7 +210,7 @@
             self._retry_later(attempt, refused.retry_after)
 
     def _retry_later(self, attempt: Attempt, retry_after: float) -> None:
-        """Have a refused caller come back when it is told to, if that is in time."""
+        """Schedule the retry of a refused caller, if it is before the deadline."""
         back_at = self._loop.now() + retry_after
         if back_at < attempt.deadline:
             self._loop.at(back_at, self.accept, attempt.request, attempt.retries + 1)
--- a/bench/events.py
+++ b/bench/events.py
@@ -1,4 +1,4 @@
-"""The event loop of an experiment, on a clock that moves from event to event."""
+"""The event loop of a simulation; its clock advances from event to event."""
 
 import heapq
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 
 
 class EventLoop:
-    """Runs actions in the order of their times; equal times in order of entry."""
+    """Runs actions in order of time, and of insertion if the times are equal."""
 
     def __init__(self) -> None:
         self.clock = ManualClock(0.0)
@@ -17,15 +17,15 @@
         self._numbers = count()
 
     def now(self) -> float:
-        """Return the present time in seconds."""
+        """Return the current time in seconds."""
         return self.clock.now()
 
     def at(self, when: float, action: Callable[..., None], *args: Any) -> None:
-        """Have an action run at a point in time, at once if that has passed."""
+        """Schedule an action; it runs at once if its time has passed."""
         heapq.heappush(self._events, (when, next(self._numbers), action, args))
 
     def after(self, seconds: float, action: Callable[..., None], *args: Any) -> None:
-        """Have an action run in some seconds."""
+        """Schedule an action after a number of seconds."""
         self.at(self.now() + seconds, action, *args)
 
     def run(self, until: float) -> None:
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,4 +1,4 @@
-"""The upstreams of a run on the event loop, and what they announce."""
+"""The upstreams of a run on the event loop, with their announcements."""
 
 from collections import deque
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 
 class SimulatedUpstream:
-    """One upstream: keeps its events planned and announces its state."""
+    """Runs the model of one upstream on the event loop and announces its state."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self._unsent: deque[tuple[float, CacheChange]] = deque()
 
     def start(self) -> None:
-        """Begin to announce; at once, then every second at its own phase."""
+        """Announce now, and then every second from a random time on."""
         self.announce()
         self._loop.after(
             float(self._rng.uniform(0, ANNOUNCE_SECONDS)), self._announce_periodically
@@ -50,7 +50,7 @@
         self._sample()
 
     def submit(self, request_id: str, request: OfferedRequest) -> Job:
-        """Take a request."""
+        """Submit a request to the upstream."""
         job = self.model.submit(request_id, request, self._loop.now())
         self._schedule()
         return job
@@ -81,7 +81,7 @@
         self._schedule()
 
     def _sample(self) -> None:
-        """Note the load, which is reported only some time later."""
+        """Record the load, which is reported with a delay."""
         now = self._loop.now()
         self.model.advance(now)
         self._loads.append(
@@ -97,7 +97,7 @@
         self._loop.after(ANNOUNCE_SECONDS, self._announce_periodically)
 
     def announce(self) -> None:
-        """Tell the owner of the present state."""
+        """Announce the current state to the owner."""
         profile = self.model.profile
         self._sequence += 1
         state = UpstreamState(
@@ -115,7 +115,7 @@
         self._owner.send("announce", state)
 
     def _reported_load(self) -> UpstreamLoad | None:
-        """Return the newest load that is old enough to be reported."""
+        """Return the newest load that is at least the case's report lag old."""
         newest = self._loop.now() - self._case.report_lag
         while len(self._loads) > 1 and self._loads[1].measured_at <= newest:
             self._loads.popleft()
@@ -124,7 +124,7 @@
         return self._loads[0]
 
     def _reported_cache_changes(self) -> tuple[CacheChange, ...]:
-        """Return the cache events that are due, some of them lost."""
+        """Return the cache events that are due, without those that are lost."""
         now = self._loop.now()
         changes = self.model.cache.changes
         self._unsent.extend((now, change) for change in changes)
--- a/bench/matrix.py
+++ b/bench/matrix.py
@@ -1,4 +1,4 @@
-"""All runs of an experiment, spread over processes of the tool."""
+"""Runs a matrix of simulations on several processes."""
 
 from collections.abc import Iterator
 from concurrent.futures import ProcessPoolExecutor
@@ -23,12 +23,14 @@
     "lost-events": "calm",
     "comebacks": "bursty",
 }
-"""Baselines hear no cache events and never refuse, and all but one hear no
-reports; their runs in these cases would repeat those of another."""
+"""Cases in which a baseline has the same results as in another case.
+
+Baselines ignore cache events and never refuse, and all but one ignore load reports;
+their runs in these cases would repeat those of the other case."""
 
 
 class Plan(NamedTuple):
-    """Which runs to do."""
+    """The runs to do."""
 
     pools: tuple[str, ...]
     cases: tuple[str, ...]
@@ -40,7 +42,7 @@
 
 
 def full_plan(seeds: int) -> Plan:
-    """Return the plan of the whole matrix."""
+    """Return the plan of the full matrix."""
     return Plan(
         tuple(POOLS_BY_NAME),
         tuple(CASES_BY_NAME),
@@ -59,7 +61,7 @@
 
 
 def specs(plan: Plan) -> Iterator[RunSpec]:
-    """Yield the runs of a plan, the costly ones first."""
+    """Yield the runs of a plan, those with the highest load first."""
     cells = [(case, load) for load in plan.loads for case in plan.cases]
     cells.append(("calm", UNLOADED_LOAD))
     cells = list(dict.fromkeys(cells))
@@ -90,7 +92,7 @@
 
 
 def run_all(plan: Plan, jobs: int) -> list[Measures]:
-    """Do all runs of a plan in some processes; the order is that of specs()."""
+    """Do all runs of a plan on some processes, and return them in order of specs()."""
     wanted = list(specs(plan))
     needed = list(dict.fromkeys(map(equivalent_spec, wanted)))
     with ProcessPoolExecutor(jobs) as executor:
--- a/bench/measures.py
+++ b/bench/measures.py
@@ -1,4 +1,4 @@
-"""What is measured of a run."""
+"""Measures of a run."""
 
 from collections import Counter
 from typing import TypedDict
@@ -26,11 +26,11 @@
 
 
 class Measures(TypedDict):
-    """One run; tokens of prompts unless said otherwise, times in seconds.
+    """One run; wasted, recomputed and computed in prompt tokens, times in seconds.
 
-    wasted is prefill computed for requests without a useful answer; recomputed
-    is prefill of prefixes that the pool had computed before. For a plain
-    service both are units of work. calls are calls of the scheduler.
+    wasted is the prefill of requests without a useful response; recomputed is the
+    prefill of prefixes that the pool had computed before. For a plain service, both are
+    units of work. calls is the number of calls of the scheduler.
     """
 
     pool: str
--- a/bench/models.py
+++ b/bench/models.py
@@ -1,18 +1,18 @@
-"""The types of the experiments; times in seconds, sizes in tokens."""
+"""Types of the simulations; times in seconds, sizes in tokens."""
 
 from typing import NamedTuple
 
 FIRST_PREFIX_TOKENS = 64
-"""Tokens of the shortest named prefix (256 bytes); each further one doubles."""
+"""Tokens of the shortest hashed prefix (256 bytes); each next one is twice as long."""
 
 
 class UpstreamProfile(NamedTuple):
-    """What one upstream can do at full speed.
+    """Capacity and speed of one upstream at full speed.
 
-    prefill_speed is in prompt tokens a second. A decode step takes step_base
-    plus step_per_sequence for each sequence of the batch, in seconds, and gives
-    one token to each. A plain service has no prefill; its output tokens are
-    units of work of step_base seconds each, and it can't cancel a call.
+    prefill_speed is in prompt tokens per second. A decode step takes step_base plus
+    step_per_sequence for each sequence of the batch, in seconds, and produces one token
+    for each of them. A plain service has no prefill; its output tokens are units of
+    work of step_base seconds each, and it can't cancel a running request.
     """
 
     name: str
@@ -27,15 +27,15 @@
     plain: bool = False
 
     def step(self, sequences: float) -> float:
-        """Return the seconds of a decode step with that many sequences."""
+        """Return the duration of a decode step with that many sequences."""
         return self.step_base + self.step_per_sequence * sequences
 
 
 class WorkKind(NamedTuple):
-    """A kind of request; sizes are log-normal, deadline is of the middle tier.
+    """A kind of request; sizes are log-normal, deadline is before the tier's factor.
 
     own_prompt and output are medians in tokens, spread is the sigma of both.
-    shared_tokens are the lengths of the documents that prompts may begin with.
+    shared_tokens are the lengths of the documents that prompts may start with.
     """
 
     name: str
@@ -48,7 +48,7 @@
 
 
 class TierSpec(NamedTuple):
-    """A tier, its share of the requests and the factor on their deadlines."""
+    """A tier, its fraction of the requests and the factor on their deadlines."""
 
     name: str
     rank: int
@@ -57,7 +57,7 @@
 
 
 class PoolSpec(NamedTuple):
-    """One pool of a deployment with its callers; delay is one way, in seconds."""
+    """One pool of a deployment with its callers; delay is one-way, in seconds."""
 
     name: str
     delay: float
@@ -69,7 +69,11 @@
 
 
 class CaseSpec(NamedTuple):
-    """What goes wrong in a run, as fractions of its duration or in seconds."""
+    """Faults of a run.
+
+    slow_from, slow_until and killed_at are fractions of the run's duration; report_lag
+    and owner_gap are in seconds.
+    """
 
     name: str
     bursty: bool = False
@@ -84,7 +88,7 @@
 
 
 class OfferedRequest(NamedTuple):
-    """One request of a caller, true sizes beside the entry host's estimates."""
+    """One request of a caller, with true sizes and the entry host's estimates."""
 
     number: int
     at: float
@@ -105,8 +109,7 @@
 class RunSpec(NamedTuple):
     """One run of one scheduler; load is a multiple of the pool's capacity.
 
-    parameters are names and values of PolicyParameters that differ from the
-    defaults, for trials.
+    parameters are names and values of PolicyParameters that differ from the defaults.
     """
 
     pool: str
--- a/bench/owner.py
+++ b/bench/owner.py
@@ -1,4 +1,4 @@
-"""The owner of a pool: a scheduler, the messages to it, and its replacement."""
+"""A model of a pool's owner: its scheduler, message delays and failover."""
 
 from collections.abc import Callable
 from typing import Any
@@ -15,10 +15,11 @@
 
 
 class Owner:
-    """Passes messages to a scheduler and its decisions to the entry hosts.
+    """Delivers messages to a scheduler, and its decisions to the entry hosts.
 
-    While nobody owns the pool, messages are lost. A new owner hears of running
-    work first and takes waiting requests when it has settled.
+    Messages are lost while the pool has no owner. A new owner first adopts the running
+    requests, and holds back the registration of waiting ones until its settling time is
+    over.
     """
 
     def __init__(
@@ -42,11 +43,11 @@
 
     @property
     def present(self) -> bool:
-        """Tell whether somebody owns the pool."""
+        """Return whether the pool has an owner."""
         return self._scheduler is not None
 
     def start(self, settle: float = 0.0) -> None:
-        """Make a scheduler that knows nothing yet the owner of the pool."""
+        """Start a new owner whose scheduler has no state."""
         self._epoch += 1
         self._wake_at = NEVER
         self._scheduler = self._make_scheduler()
@@ -56,12 +57,12 @@
         self._schedule_tick()
 
     def kill(self) -> None:
-        """Lose the scheduler and all it knew."""
+        """Stop the owner; its scheduler and all state are lost."""
         self._epoch += 1
         self._scheduler = None
 
     def send(self, call: str, *arguments: Any, **named: Any) -> None:
-        """Have a call made on the scheduler when the message has arrived."""
+        """Call a method of the scheduler after the message delay."""
         epoch = self._epoch
         self._loop.after(self._delay, self._receive, epoch, call, arguments, named)
 
@@ -85,7 +86,7 @@
             self._loop.after(self._delay, self._on_decision, decision)
 
     def _schedule_tick(self) -> None:
-        """Plan the next tick unless one is due before it anyway."""
+        """Schedule the next tick unless an earlier one is scheduled already."""
         now = self._loop.now()
         wake = max(now + 0.001, self._scheduler.next_wake(now))
         if wake >= self._wake_at or wake == NEVER:
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,4 +1,4 @@
-"""The command of the experiments: python -m bench.policy run | report."""
+"""Command line of the scheduler simulations: python -m bench.policy run | report."""
 
 import json
 import sys
@@ -18,11 +18,11 @@
 
 @dataclass
 class Run:
-    """Run the schedulers over the matrix of cases and keep the results."""
+    """Run the schedulers over the matrix of cases and save the results."""
 
-    out: Annotated[Path, cappa.Arg(long=True, help="where the results go, as JSON")]
+    out: Annotated[Path, cappa.Arg(long=True, help="file for the results, as JSON")]
     quick: Annotated[bool, cappa.Arg(long=True, help="a few short runs")] = False
-    seeds: Annotated[int, cappa.Arg(long=True, help="seeds a cell")] = DEFAULT_SEEDS
+    seeds: Annotated[int, cappa.Arg(long=True, help="seeds per cell")] = DEFAULT_SEEDS
     jobs: Annotated[int, cappa.Arg(long=True, help="processes")] = DEFAULT_JOBS
     pool: Annotated[list[str] | None, cappa.Arg(long=True)] = None
     case: Annotated[list[str] | None, cappa.Arg(long=True)] = None
@@ -33,7 +33,7 @@
     ] = None
 
     def __call__(self) -> None:
-        """Do the runs and write the results."""
+        """Run the plan and write the results."""
         plan = quick_plan() if self.quick else full_plan(self.seeds)
         plan = plan._replace(
             pools=tuple(self.pool or plan.pools),
@@ -56,7 +56,7 @@
 
 @dataclass
 class Report:
-    """Print the tables of kept results."""
+    """Print the tables of saved results."""
 
     results: Path
 
@@ -67,7 +67,7 @@
 
 @dataclass
 class Policy:
-    """Experiments with the decisions of the owner of a pool."""
+    """Simulate the scheduling decisions of the owner of a pool."""
 
     subcommand: cappa.Subcommands[Run | Report]
 
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -1,7 +1,7 @@
-"""Plays the arrivals of an experiment over real sockets: python -m bench.replay.
+"""Sends the requests of a simulation over real sockets: python -m bench.replay.
 
-The callers are tasks of one process. Prompts share the documents that the model's
-prompts share, so that engines with a prefix cache can use them.
+The callers are tasks of one process. Prompts share the same documents as those of the
+simulation, so that engines with a prefix cache can use them.
 """
 
 import json
@@ -27,7 +27,7 @@
 
 
 class TierResult(TypedDict):
-    """One tier; first token and total are medians of useful answers, in seconds."""
+    """One tier; first_s and total_s are medians of useful responses, in seconds."""
 
     offered: int
     useful: int
@@ -37,7 +37,7 @@
 
 
 def make_prompt(offered: OfferedRequest) -> str:
-    """Return a prompt of the ask's size that begins with its shared document."""
+    """Return a prompt of the request's size that starts with its shared document."""
     shared = ""
     if offered.shared:
         document = offered.prefix_hashes[0]
@@ -51,7 +51,7 @@
 
 
 def make_http_request(offered: OfferedRequest, token: str, plain: bool) -> Request:
-    """Return the request that a caller sends for an ask."""
+    """Return the HTTP request that a caller sends."""
     headers = {
         "Authorization": f"Bearer {token}",
         "X-Tier": offered.tier,
@@ -66,7 +66,7 @@
 
 
 def classify_outcome(offered: OfferedRequest, result: Result) -> str:
-    """Return useful, late, cut, or the reason for which there was no answer."""
+    """Return useful, late, cut, or the reason why there was no response."""
     if result.cut:
         return "late" if result.total_s >= offered.deadline else "cut"
     if result.outcome != DONE:
@@ -80,9 +80,9 @@
     token_by_workspace: dict[str, str],
     plain: bool,
 ) -> list[tuple[OfferedRequest, Result]]:
-    """Send each ask at its time to the caller port of its host; return what came.
+    """Send each request at its time to the caller port of its host.
 
-    A caller gives up at the deadline.
+    Return the results. A caller disconnects at the deadline.
     """
     results: list[tuple[OfferedRequest, Result]] = []
     begun = time.perf_counter()
@@ -105,7 +105,7 @@
 
 
 def summarize(results: list[tuple[OfferedRequest, Result]]) -> dict[str, TierResult]:
-    """Return the results by tier, the most important one first."""
+    """Return the results by tier, the highest tier first."""
     summary = {}
     for _, tier in sorted(
         {(offered.tier_rank, offered.tier) for offered, _ in results}
@@ -132,20 +132,20 @@
 
 @dataclass
 class Replay:
-    """Play the arrivals of a pool against entry hosts that run already."""
+    """Send the requests of a simulated pool to running entry hosts."""
 
     port: Annotated[list[int], cappa.Arg(long=True, help="caller ports on loopback")]
     tokens: Annotated[
         Path, cappa.Arg(long=True, help="JSON: bearer token by workspace name")
     ]
     pool: Annotated[str, cappa.Arg(long=True)] = "zaf-engines"
-    rate: Annotated[float, cappa.Arg(long=True, help="requests a second")] = 5.0
+    rate: Annotated[float, cappa.Arg(long=True, help="requests per second")] = 5.0
     seconds: Annotated[float, cappa.Arg(long=True)] = 30.0
     seed: Annotated[int, cappa.Arg(long=True)] = 1
     bursty: Annotated[bool, cappa.Arg(long=True)] = False
 
     def __call__(self) -> None:
-        """Play and print the results by tier as JSON."""
+        """Send all requests and print the results by tier as JSON."""
         pool = POOLS_BY_NAME[self.pool]
         requests = make_requests(pool, self.rate, self.seconds, self.bursty, self.seed)
         token_by_workspace = json.loads(self.tokens.read_text())
--- a/bench/replication.py
+++ b/bench/replication.py
@@ -1,7 +1,7 @@
-"""Measures the replicated log; figures as JSON on standard output.
+"""Measures the replicated log; prints JSON.
 
-Three processes on loopback, each with the product's links and data folder on the
-disk of the given folder, and synced writes; then replay and snapshot transfer.
+First with three processes on loopback that use the product's links and synced writes to
+data folders in the given folder; then log replay and snapshot transfer.
 Run from the root of the project:
 
     python -m bench.replication FOLDER [processes|recovery]
@@ -39,7 +39,7 @@
 
 HOSTS = ("a", "b", "c")
 FIRST_PORT = 27310
-"""Below the range of outgoing connections, which could take the port of a dead host."""
+"""Below the ephemeral ports; an outgoing connection could take a dead host's port."""
 COMMAND = b"x" * 200
 CALLERS = (1, 16, 64, 256)
 SECONDS = 4.0
@@ -50,7 +50,7 @@
 
 
 class Timer:
-    """Keeps the durations of synced writes."""
+    """Metrics that record the durations of synced writes."""
 
     def __init__(self) -> None:
         self.syncs: list[float] = []
@@ -65,7 +65,7 @@
 
 
 class BlobState:
-    """A state of some bytes that commands don't change."""
+    """A replicated state of a number of bytes that commands don't change."""
 
     def __init__(self, size: int = 0) -> None:
         self.data = bytes(size)
@@ -120,7 +120,7 @@
 
 
 def run_replica(host: str, folder: str) -> None:
-    """Serve until killed; tell each confirmed beginning of leadership."""
+    """Serve until killed; print each confirmed start of leadership."""
 
     async def serve() -> None:
         runtime, log = await async_open(host, Path(folder), BlobState())
@@ -268,7 +268,7 @@
 
 
 async def async_measure_snapshot(folder: Path, size: int) -> dict[str, Any]:
-    """Let an empty learner get a snapshot over loopback."""
+    """Send a snapshot to an empty learner over loopback."""
     folder = folder / f"snapshot-{size}"
     first, log = await async_open("a", folder, BlobState(size), ("a",), every=1050)
     while await log.async_confirm(1.0) is None:
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Tables of the results in Markdown, with the aims and whether they are met."""
+"""Tables of the results in Markdown, with the targets and whether they are met."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -21,7 +21,7 @@
 
 
 class Cell(NamedTuple):
-    """A place in the matrix."""
+    """One cell of the matrix of pools, cases and loads."""
 
     pool: str
     case: str
@@ -29,14 +29,14 @@
 
 
 class Spread(NamedTuple):
-    """Median, least and greatest of the seeds."""
+    """Median, minimum and maximum over the seeds."""
 
     median: float
     minimum: float
     maximum: float
 
     def text(self, digits: int = 2) -> str:
-        """Return it as median and range."""
+        """Return the median and the range as text."""
         return (
             f"{self.median:.{digits}f} ({self.minimum:.{digits}f} to "
             f"{self.maximum:.{digits}f})"
@@ -44,10 +44,10 @@
 
 
 class Comparison(NamedTuple):
-    """The policy in one cell against the best baseline of each measure.
+    """The policy in one cell compared with the best baseline for each measure.
 
-    Ratios are of medians; the spreads are over the seeds. A wasted ratio of
-    None means that neither wasted anything.
+    Ratios are of medians; the spreads are over the seeds. A wasted_ratio of None means
+    that neither wasted anything.
     """
 
     cell: Cell
@@ -67,19 +67,19 @@
 
 
 def spread(values: Iterable[float]) -> Spread:
-    """Return median, least and greatest."""
+    """Return median, minimum and maximum."""
     numbers = list(values)
     return Spread(float(np.median(numbers)), min(numbers), max(numbers))
 
 
 def top_fraction(measures: Measures) -> float:
-    """Return the useful part of the requests of the highest tier."""
+    """Return the fraction of the highest tier's requests that were useful."""
     top = next(iter(measures["tiers"].values()))
     return top["useful"] / max(1, top["offered"])
 
 
 def compare(results: list[Measures]) -> list[Comparison]:
-    """Return one comparison for each cell, in the order of the results."""
+    """Return one comparison for each cell, ordered by pool, case and load."""
     runs: dict[Cell, dict[str, list[Measures]]] = defaultdict(lambda: defaultdict(list))
     for measures in results:
         cell = Cell(measures["pool"], measures["case"], measures["load"])
@@ -143,7 +143,7 @@
 
 
 def met_targets(comparison: Comparison) -> dict[str, bool]:
-    """Return for each aim that holds in this cell whether it is met."""
+    """Return for each target that applies to this cell whether it is met."""
     load = comparison.cell.load
     met = {}
     if load in TARGET_LOADS:
@@ -161,7 +161,7 @@
     """Return all tables as one Markdown text."""
     comparisons = compare(results)
     seeds = len({measures["seed"] for measures in results})
-    lines = [f"{len(results)} runs, {seeds} seeds; median (least to greatest).", ""]
+    lines = [f"{len(results)} runs, {seeds} seeds; median (minimum to maximum).", ""]
     lines += _targets_table(comparisons)
     for pool in dict.fromkeys(comparison.cell.pool for comparison in comparisons):
         rows = [c for c in comparisons if c.cell.pool == pool]
@@ -169,7 +169,7 @@
     lines += ["", "### Refusals and times of the policy", "", *_tier_table(results)]
     lines += [
         "",
-        "### Cases behind the best baseline",
+        "### Cases below the best baseline",
         "",
         *_below_baseline(comparisons),
     ]
@@ -190,7 +190,7 @@
         cell = comparison.cell
         for target, is_met in met_targets(comparison).items():
             met[target, cell.pool, cell.load].append(is_met)
-    lines = _header("aim", "pool", "load", "cases met", "of")
+    lines = _header("target", "pool", "load", "cases met", "of")
     for (target, pool, load), flags in sorted(met.items()):
         lines.append(_row(target, pool, load, sum(flags), len(flags)))
     return lines
@@ -209,7 +209,7 @@
         "wasted",
         "ratio",
         "recomputed",
-        "baselines' least",
+        "baselines' minimum",
         "missed",
     )
     for item in comparisons:
--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -1,6 +1,6 @@
-"""Plays rollouts of good and bad versions: `python -m bench.rollouts --help`.
+"""Simulates rollouts of good and bad versions: `python -m bench.rollouts --help`.
 
-Trials, allowances and verdicts are the product's; requests and upstreams are drawn.
+Trials, allowances and decisions are the product's; requests and upstreams are random.
 """
 
 import argparse
@@ -30,7 +30,7 @@
 
 BOUNDS = RolloutBounds()
 ROUTES = (("report", 0.2, 2.0), ("query", 0.45, 1.2), ("tag", 0.35, 0.2))
-"""Names, shares of the requests, and mean seconds of an answer."""
+"""Names, fractions of the requests, and mean response times in seconds."""
 
 SLOTS = 9
 DECISION_DELAY = 0.2
@@ -44,7 +44,11 @@
 
 
 class Case(NamedTuple):
-    """What a version does, and what happens to the upstreams of both versions."""
+    """Behavior of a candidate version, and faults of the upstreams of both versions.
+
+    A bad version fails or is slow from bad_after on, in seconds; if set so, only under
+    load or only on one route. fault is crash, grey (partial failures) or slow.
+    """
 
     name: str
     bad: bool = False
@@ -77,7 +81,11 @@
 
 
 class RolloutResult(NamedTuple):
-    """What became of one rollout; after_50th is in seconds, 0 without so many."""
+    """Result of one rollout.
+
+    after_50th is the time in seconds for which the candidate still got requests after
+    its 50th failure, or 0 if it had fewer.
+    """
 
     phase: str
     in_time: bool
@@ -88,7 +96,7 @@
 
 
 class RolloutSimulation:
-    """One rollout over one owner."""
+    """One rollout with one owner."""
 
     def __init__(
         self, case: Case, rate: float, duration: float, seed: int, weigh: str
@@ -130,7 +138,7 @@
         self.all_sent: list[tuple[float, int, str, bool, float, float]] = []
 
     def run(self) -> RolloutResult:
-        """Play it to its time limit."""
+        """Simulate the rollout up to its time limit."""
         now = 0.0
         next_report = 0.0
         while now < self.duration:
@@ -222,7 +230,7 @@
         return min(old, key=self.running_by_name.__getitem__)
 
     def _available(self, names: list[str], now: float) -> list[str]:
-        """Return the upstreams that have not crashed."""
+        """Return the upstreams that are not down because of a crash."""
         if self.case.fault != "crash" or not self._is_fault_active(now):
             return names
         return [name for name in names if name not in self.faulty_upstreams]
@@ -233,7 +241,7 @@
     def _run(
         self, name: str, route: str, mean: float, now: float
     ) -> tuple[bool, float]:
-        """Return whether a request fails, and its seconds."""
+        """Return whether a request fails, and its duration in seconds."""
         case = self.case
         load = self.running_by_name[name] / SLOTS
         size = self.rng.lognormvariate(-0.125, 0.5)
@@ -271,7 +279,7 @@
 
 
 def _route_of_draw(draw: float) -> tuple[str, float]:
-    """Return the route of a draw from 0 to 1, and its mean seconds."""
+    """Return the route for a random number from 0 to 1, and its mean seconds."""
     for route, part, mean in ROUTES[:-1]:
         draw -= part
         if draw < 0:
@@ -283,12 +291,12 @@
 def simulate(
     case: Case, rate: float, duration: float, weigh: str, seed: int
 ) -> RolloutResult:
-    """Play one rollout."""
+    """Simulate one rollout."""
     return RolloutSimulation(case, rate, duration, seed, weigh).run()
 
 
 def summary(case: Case, results: list[RolloutResult]) -> dict[str, float | str]:
-    """Return a row of the table."""
+    """Return the summary of all rollouts of a case."""
     count = len(results)
     wanted = Phase.REVERTED if case.bad else Phase.COMPLETE
     kept = [item for item in results if not case.bad or item.exposed <= item.allowed]
@@ -305,15 +313,17 @@
 
 
 def main() -> None:
-    """Print a row of JSON for each case."""
+    """Print one JSON document per case."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--plays", type=int, default=1000)
-    parser.add_argument("--rate", type=float, default=30.0, help="requests a second")
+    parser.add_argument("--rate", type=float, default=30.0, help="requests per second")
     parser.add_argument("--duration", type=float, default=12.0, help="seconds")
     parser.add_argument(
         "--weigh", choices=sorted(EVIDENCE_METHODS_BY_NAME), default="mixture"
     )
-    parser.add_argument("--case", default="", help="only cases whose names hold this")
+    parser.add_argument(
+        "--case", default="", help="only cases whose names contain this"
+    )
     parser.add_argument("--jobs", type=int, default=2)
     options = parser.parse_args()
     with ProcessPoolExecutor(options.jobs) as pool:
--- a/bench/routed/__init__.py
+++ b/bench/routed/__init__.py
@@ -1,1 +1,1 @@
-"""A lab for pools of routed requests, with the parameters that such pools run."""
+"""Simulations of pools that serve routed requests, with their parameters."""
--- a/bench/routed/__main__.py
+++ b/bench/routed/__main__.py
@@ -1,4 +1,4 @@
-"""The command of the lab: python -m bench.routed play | compare."""
+"""Command line for simulating routed pools: python -m bench.routed play | compare."""
 
 import json
 import math
@@ -30,14 +30,14 @@
 )
 COMPARED = ("worth", "worst_windows", "worst_kind", "in_time", "largest", "held")
 T_CRITICAL_95 = 2.26
-"""Standard errors beyond which a mean of ten pairs is shown at 95 in 100."""
+"""Two-sided 95 % critical value of Student's t for the differences of ten pairs."""
 
 
 @dataclass
 class Play:
-    """Play sheets and cases with the same seeds and keep the tallies as JSON."""
+    """Simulate sheets and cases with the same seeds and save the scores as JSON."""
 
-    out: Annotated[Path, cappa.Arg(long=True, help="where the tallies go")]
+    out: Annotated[Path, cappa.Arg(long=True, help="file for the scores")]
     sheet: Annotated[list[str] | None, cappa.Arg(long=True)] = None
     case: Annotated[list[str] | None, cappa.Arg(long=True)] = None
     first: Annotated[int, cappa.Arg(long=True, help="the first seed")] = 1
@@ -48,7 +48,7 @@
     ] = None
 
     def __call__(self) -> None:
-        """Play all and write the tallies."""
+        """Run all simulations and write the scores."""
         changes = dict(map(_parameter, self.parameter or ()))
         sheets = self.sheet or list(load_sheets())
         cases = self.case or [case.name for case in CASES]
@@ -93,13 +93,16 @@
 
 @dataclass
 class Compare:
-    """Print the differences of two files of tallies, seed by seed."""
+    """Print the differences between two files of scores, paired by seed."""
 
     before: Path
     after: Path
 
     def __call__(self) -> None:
-        """Write a row a cell: means and their standard errors; a star where shown."""
+        """Print one row per cell: mean differences with standard errors.
+
+        A star marks a difference that is significant at the 95 % level.
+        """
         before = _group_by_cell(json.loads(self.before.read_text()))
         after = _group_by_cell(json.loads(self.after.read_text()))
         sys.stdout.write("| sheet | case | " + " | ".join(COMPARED) + " |\n")
@@ -119,7 +122,7 @@
 
 @dataclass
 class Lab:
-    """Experiments with the decisions of pools of routed requests."""
+    """Simulate the scheduling decisions of pools of routed requests."""
 
     subcommand: cappa.Subcommands[Play | Compare]
 
--- a/bench/routed/entry_hosts.py
+++ b/bench/routed/entry_hosts.py
@@ -1,4 +1,4 @@
-"""Callers with an objective for the first output, and what their answers are worth."""
+"""Entry hosts for callers that have an objective for the first output."""
 
 from bench.entry import Attempt, EntryHosts
 from bench.events import EventLoop
@@ -8,13 +8,13 @@
 from bitterntiller.components.dispatch.models import WaitingRequest
 
 MAX_RETRY_WAIT_FRACTION = 1 / 3
-"""Part of the time that a caller has left up to which it waits as it is told."""
+"""A caller waits for Retry-After, but at most this fraction of its remaining time."""
 
 RETRIES = 1
 
 
 class RoutedAttempt(Attempt):
-    """An attempt whose first output is due by an objective."""
+    """An attempt with an objective for its first output."""
 
     __slots__ = ("kind",)
 
@@ -30,9 +30,10 @@
         self.kind = kind
 
     def waiting_request(self) -> WaitingRequest:
-        """Return what the owner is told of it.
+        """Return the registration, with the times of the objective and of giving up.
 
-        A host knows of a caller that comes back no more than of a new one.
+        An entry host can't distinguish a retry from a new request, so both times
+        count from the arrival of this attempt.
         """
         request = super().waiting_request()
         return request._replace(
@@ -42,7 +43,7 @@
 
 
 class RoutedEntryHosts(EntryHosts):
-    """Entry hosts whose callers come back once, as they are told."""
+    """Entry hosts whose callers retry once, after Retry-After."""
 
     def __init__(
         self, loop: EventLoop, owner: Owner, delay: float, kinds: dict[str, Kind]
@@ -51,7 +52,7 @@
         self._kinds_by_name = kinds
 
     def accept(self, request: OfferedRequest, retries: int = 0) -> None:
-        """Take a request and register it with the owner."""
+        """Accept a request and register it with the owner."""
         kind = self._kinds_by_name[request.kind]
         deadline = request.at + request.deadline
         attempt = RoutedAttempt(request, retries, self._loop.now(), deadline, kind)
--- a/bench/routed/load.py
+++ b/bench/routed/load.py
@@ -1,4 +1,4 @@
-"""The requests of a run: calm, in bursts, of one workspace, or beside slow engines."""
+"""Load cases of routed pools, and the requests that they generate."""
 
 import math
 from typing import NamedTuple
@@ -11,20 +11,20 @@
 
 MAX_PROMPT = 39_600
 HINT_SPREAD = 0.5
-"""Sigma of the callers' own guess of the output, which is right at the median."""
+"""Sigma of the log-normal error of callers' output estimates; its median is 1."""
 
 SHARED_TOKENS = 60
 MAX_EVENTS_FACTOR = 10
-"""Times the mean that an answer has events at most."""
+"""Maximum number of events in a response, as a multiple of the mean."""
 
 
 class Case(NamedTuple):
-    """What is asked in a run; load is a multiple of the sheet's usual rates.
+    """Load and faults of a run; load is a multiple of the sheet's usual rates.
 
-    From burst_from to burst_until, seconds, the load is burst times as high; one
-    workspace sends hot times its usual then. slow engines work at a fifth of their
-    speed meanwhile, lost ones stop, and the owner is replaced by another at the middle
-    of the run where owner_lost is set.
+    From burst_from to burst_until, in seconds, the load is multiplied by burst_factor
+    and that of workspace 1 also by hot_factor. Meanwhile, slow_engines engines run at a
+    fifth of their speed. If owner_lost is set, the owner is replaced by another one in
+    the middle of the run.
     """
 
     name: str
@@ -111,6 +111,6 @@
 
 
 def _lognormal_size(mean: float, spread: float, rng: np.random.Generator) -> int:
-    """Return a log-normal size of a mean."""
+    """Return a log-normally distributed size with the given mean."""
     median = mean / math.exp(spread * spread / 2)
     return max(1, int(median * math.exp(spread * rng.standard_normal())))
--- a/bench/routed/score.py
+++ b/bench/routed/score.py
@@ -1,4 +1,4 @@
-"""What a run was worth: in all, in its worst windows, of its worst kind."""
+"""Scores of a run: worth earned overall, in its worst windows and of its worst kind."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -10,28 +10,30 @@
 WINDOW_SECONDS = 2.0
 WORST_WINDOWS = 2
 MIN_WINDOW_FRACTION = 0.25
-"""Windows in which less than this fraction of the mean is owed don't count."""
+"""Windows that owe less worth than this fraction of the mean are ignored."""
 
 BASE_WEIGHT = 0.3
 MAX_WEIGHT = 4.0
-"""A request counts BASE_WEIGHT, and the rest by its size over the mean of its kind."""
+"""Weight of a request: BASE_WEIGHT + (1 - BASE_WEIGHT) * size / mean size of its kind,
+at most MAX_WEIGHT."""
 
 OUTPUT_WEIGHT = 10
-"""Prompt tokens that an output token counts for in the size of a request."""
+"""Prompt tokens that one output token equals in the size of a request."""
 
 LARGEST_FRACTION = 0.1
 LATE_REFUSAL_FRACTION = 0.125
-"""Part of its objective beyond which a refused request has waited for long."""
+"""Fraction of its objective after which a refusal counts as late."""
 
 
 class RunScore(NamedTuple):
     """Worth earned over worth owed, and how requests ended.
 
-    Parts are between 0 and 1. refused_late are those refused after more than an eighth
-    of their objective; back_served those that were served after a refusal. sizes are
-    the shares that were served by kind, of its largest tenth and of all; largest is the
-    least ratio of the two. held is the mean wait of refused tries in seconds.
-    slot_seconds are those of requests by what became of them.
+    Fractions are between 0 and 1. refused_late are requests refused after more than an
+    eighth of their objective; back_served were served by a retry after a refusal. sizes
+    has for each kind the fractions served of its largest tenth and of all its requests;
+    largest is the minimum ratio of the two. held is the mean time in seconds that
+    refused attempts waited. slot_seconds are the seconds for which requests occupied
+    slots, by kind and outcome.
     """
 
     worth: float
@@ -49,7 +51,7 @@
 
 
 def score_run(attempts: list[RoutedAttempt], duration: float) -> RunScore:
-    """Return the tally of all attempts of a run."""
+    """Return the score of a run from all its attempts."""
     attempts_by_request: dict[OfferedRequest, list[RoutedAttempt]] = defaultdict(list)
     for attempt in attempts:
         attempts_by_request[attempt.request].append(attempt)
@@ -100,7 +102,7 @@
 
 
 def _served_fractions(served: list[tuple[int, bool]]) -> tuple[float, float]:
-    """Return the shares served of the largest tenth and of all."""
+    """Return the fractions served of the largest tenth and of all."""
     by_size = [done for _, done in sorted(served)]
     tenth = by_size[-max(1, int(LARGEST_FRACTION * len(by_size))) :]
     return sum(tenth) / len(tenth), sum(by_size) / len(by_size)
@@ -112,7 +114,7 @@
 
 
 def _size(request: OfferedRequest) -> int:
-    """Return what a request asks for, from the tokens that it states."""
+    """Return the size of a request from its prompt and its stated output tokens."""
     return request.prompt + OUTPUT_WEIGHT * request.output_estimate
 
 
@@ -124,7 +126,7 @@
 
 
 def _weight(size: float) -> float:
-    """Return what a request counts, by its size beside the mean of its kind."""
+    """Return the weight of a request from its size over the mean of its kind."""
     return min(MAX_WEIGHT, BASE_WEIGHT + (1 - BASE_WEIGHT) * size)
 
 
--- a/bench/routed/sheets.py
+++ b/bench/routed/sheets.py
@@ -1,4 +1,4 @@
-"""The loads of the lab, read from a file of our own: kinds, engines, worth."""
+"""Deployments to simulate, read from sheets.json: engines, request kinds, worth."""
 
 import json
 from pathlib import Path
@@ -10,12 +10,12 @@
 
 
 class Kind(NamedTuple):
-    """A kind of request; times in seconds, sizes in tokens, worth as its users say.
+    """A kind of request; times in seconds, sizes in tokens, worth as its users state.
 
-    prompt and events are means of log-normal sizes whose spreads are sigmas. worth is
-    that of an answer whose first output comes within objective, late of a later one;
-    callers leave without a first output after patience. subjects are the prompts' last
-    shared parts.
+    prompt and events are means of log-normal sizes, and their spreads are sigmas. A
+    response is worth worth if its first output arrives within objective, late if it
+    arrives later. Callers disconnect if they have no first output after patience.
+    subjects is the number of different shared prompt prefixes.
     """
 
     name: str
@@ -34,7 +34,7 @@
 
 
 class Sheet(NamedTuple):
-    """One deployment: its engines, its hosts and what its callers ask."""
+    """One deployment: its engines, its hosts and the requests of its callers."""
 
     name: str
     delay: float
@@ -51,7 +51,7 @@
     kinds: tuple[Kind, ...]
 
     def profile(self, number: int) -> UpstreamProfile:
-        """Return the engine of a number; its speed is the next one in turn."""
+        """Return the profile of an engine; speeds are assigned round-robin."""
         pace = 1 / self.speeds[number % len(self.speeds)]
         return UpstreamProfile(
             name=f"engine-{number}",
--- a/bench/routed/simulation.py
+++ b/bench/routed/simulation.py
@@ -1,4 +1,4 @@
-"""One run of the lab: a sheet, a case, a seed."""
+"""One simulation run of a routed pool: a sheet, a case and a seed."""
 
 import math
 
@@ -25,12 +25,12 @@
 
 
 def make_parameters(changes: dict[str, object]) -> PolicyParameters:
-    """Return the parameters that routed pools run, with some of them changed."""
+    """Return the parameters of routed pools with some of them changed."""
     return REGISTERED_PARAMETERS._replace(**changes)
 
 
 def simulate(sheet_name: str, case_name: str, seed: int, changes: dict) -> RunScore:
-    """Play one run and return its tally."""
+    """Simulate one run and return its score."""
     sheet, case = load_sheets()[sheet_name], CASES_BY_NAME[case_name]
     loop = EventLoop()
     hosts: RoutedEntryHosts
--- a/bench/run.py
+++ b/bench/run.py
@@ -1,4 +1,4 @@
-"""One run: a pool, a case, a load, a seed and a scheduler."""
+"""One simulation run of a pool, a case, a load, a seed and a scheduler."""
 
 import time
 from collections.abc import Callable
@@ -22,16 +22,16 @@
 
 
 def run(spec: RunSpec) -> Measures:
-    """Run an experiment to its end and return its measures."""
+    """Run a simulation to its end and return its measures."""
     return measure(spec, *simulate(spec))
 
 
 def simulate(
     spec: RunSpec, make_scheduler_under_test: Callable[[], Scheduler] | None = None
 ) -> tuple[EntryHosts, Owner, float]:
-    """Run an experiment; return the hosts, the owner and the seconds it took.
+    """Run a simulation; return the hosts, the owner and the processor seconds used.
 
-    maker makes the scheduler under test, if it is not the one named in spec.
+    make_scheduler_under_test replaces the scheduler that spec names.
     """
     began = time.process_time()
     pool = POOLS_BY_NAME[spec.pool]
@@ -82,7 +82,7 @@
 def _schedule_faults(
     case: CaseSpec, duration: float, loop: EventLoop, owner: Owner, hosts: EntryHosts
 ) -> None:
-    """Plan what goes wrong in a run."""
+    """Schedule the faults of a case."""
     if case.slow_speed != 1.0:
         upstream = _slowed_upstream(hosts)
         loop.at(duration * case.slow_from, upstream.set_speed, case.slow_speed)
@@ -95,5 +95,5 @@
 
 
 def _slowed_upstream(hosts: EntryHosts) -> SimulatedUpstream:
-    """Return the upstream that is slowed down: the first, which is the fastest."""
+    """Return the upstream that is slowed down: the first one, which is the fastest."""
     return next(iter(hosts.upstreams_by_name.values()))
--- a/bench/schedulers.py
+++ b/bench/schedulers.py
@@ -1,4 +1,4 @@
-"""The schedulers that are compared, by name."""
+"""The schedulers to compare, by name."""
 
 import numpy as np
 
@@ -19,7 +19,7 @@
     rng: np.random.Generator,
     parameters: tuple[tuple[str, object], ...] = (),
 ) -> Scheduler:
-    """Return a new scheduler that knows nothing yet."""
+    """Return a new scheduler with no state."""
     if name == POLICY:
         plain = pool.upstreams[0].plain
         kind = KIND_PLAIN if plain else KIND_ENGINE
--- a/bench/setup.py
+++ b/bench/setup.py
@@ -1,4 +1,4 @@
-"""Starts deployments for measurements, and reads what the system counts."""
+"""Starts deployments for measurements, and reads processor time and memory."""
 
 import os
 import time
@@ -15,7 +15,7 @@
 
 
 class ProcessCounts(NamedTuple):
-    """How many processes of each kind; host a has all roles and no chaos."""
+    """Number of processes of each kind; host a has all roles and gets no faults."""
 
     engines: int = 1
     plain: int = 0
@@ -26,7 +26,7 @@
 
 
 def start_deployment(deployment: Deployment, sizes: ProcessCounts) -> None:
-    """Start all processes and wait until each host takes work."""
+    """Start all processes and wait until each host accepts requests."""
     deployment.add_host("a", {"roles": "entry,dispatch,control"}, False)
     for number in range(sizes.entry_only):
         deployment.add_host(f"b{number}", {"roles": "entry"}, False)
@@ -63,13 +63,13 @@
 
 
 def chat_request(name: str, tokens: int, **fields: object) -> Request:
-    """Return a streamed request that no other equals."""
+    """Return a streaming chat request with a unique body."""
     target = "/v1/chat/completions"
     body = builders.request_body(target, name, tokens, stream=True, **fields)
     token = builders.TOKENS_BY_WORKSPACE["foresters"]
     headers = {
         "Authorization": f"Bearer {token}",
-        "X-Request-Id": name,  # what an engine echoes when it is asked directly
+        "X-Request-Id": name,  # echoed by an engine if requested directly
         "X-Deadline-Ms": "120000",
     }
     return Request("POST", target, headers, body)
--- a/bench/system.py
+++ b/bench/system.py
@@ -1,6 +1,6 @@
-"""Figures of whole deployments on one machine: `python -m bench.system --help`.
+"""Measures whole deployments on one machine: `python -m bench.system --help`.
 
-Each command starts hosts and stand-ins on loopback, ends them by their ids, and
+Each command starts hosts and stand-ins on loopback, ends them by process id, and
 prints one JSON document. The figures hold for the machine and its load at that time.
 """
 
@@ -41,12 +41,12 @@
 @cappa.command(name="latency")
 @dataclass
 class Latency:
-    """Added latency to the first byte: direct, one host, entry and owner apart."""
+    """Latency to the first byte: direct, via one host, and with a separate owner."""
 
     count: Annotated[int, cappa.Arg(long=True)] = 2000
 
     def run(self, deployment: Deployment) -> dict[str, Any]:
-        """Send each kind in turn, one at a time, so that noise hits all alike."""
+        """Send one request at a time, on each path in turn, so that noise is shared."""
         start_deployment(
             deployment, ProcessCounts(engines=1, entry_only=1, token_ms=1.0)
         )
@@ -80,15 +80,15 @@
 @cappa.command(name="relay")
 @dataclass
 class Relay:
-    """Chunks relayed by one entry process, and the processor time they take."""
+    """Chunks relayed by one entry process, and the processor time that they take."""
 
     seconds: Annotated[float, cappa.Arg(long=True)] = 15.0
     streams: Annotated[int, cappa.Arg(long=True)] = STREAMS
     tokens_s: Annotated[float, cappa.Arg(long=True)] = REQUIRED_TOKENS_S
-    """Tokens a second over all streams that the engines make."""
+    """Tokens per second that the engines produce over all streams."""
 
     def run(self, deployment: Deployment) -> dict[str, Any]:
-        """Hold streams through an entry process that owns no pool."""
+        """Relay streams through an entry process that owns no pool."""
         token_ms = 1000 * self.streams / self.tokens_s
         sizes = ProcessCounts(engines=6, slots=200, entry_only=1, token_ms=token_ms)
         start_deployment(deployment, sizes)
@@ -122,12 +122,12 @@
 @cappa.command(name="memory")
 @dataclass
 class Memory:
-    """Resident memory of an entry process with requests served and streams held."""
+    """Resident memory of an entry process after requests and with open streams."""
 
     count: Annotated[int, cappa.Arg(long=True)] = 10_000
 
     def run(self, deployment: Deployment) -> dict[str, Any]:
-        """Serve requests in tenths, then hold streams."""
+        """Serve the requests in ten batches, then hold streams open."""
         sizes = ProcessCounts(engines=4, slots=400, entry_only=1, token_ms=0.2)
         start_deployment(deployment, sizes)
         host = deployment.hosts_by_name["b0"]
@@ -173,14 +173,14 @@
 @cappa.command(name="chaos")
 @dataclass
 class ChaosRun:
-    """Requests while entry processes are killed, frozen, thawed and restarted."""
+    """Requests while entry processes are killed, restarted, stopped and resumed."""
 
     count: Annotated[int, cappa.Arg(long=True)] = 10_000
     workers: Annotated[int, cappa.Arg(long=True)] = 32
     seed: Annotated[int, cappa.Arg(long=True)] = 1
 
     def run(self, deployment: Deployment) -> dict[str, Any]:
-        """Count at the stand-ins what ran, and compare with what callers heard."""
+        """Compare the runs that the stand-ins recorded with the callers' responses."""
         sizes = ProcessCounts(engines=3, plain=2, slots=32, both_roles=3, token_ms=3.0)
         start_deployment(deployment, sizes)
         chaos = Chaos(deployment, self.count, self.workers, self.seed)
@@ -193,7 +193,7 @@
 
     command: cappa.Subcommands[Latency | Relay | Memory | ChaosRun]
     keep: Annotated[Path | None, cappa.Arg(long=True)] = None
-    """A folder for the logs and records; without it they are removed."""
+    """A folder in which to keep the logs and records; by default they are removed."""
 
 
 def main() -> None:
@@ -205,7 +205,7 @@
         else:
             folder = system.keep
             folder.mkdir(parents=True, exist_ok=True)
-        # The product's own timings, not the short ones of the scenarios.
+        # The default timings, instead of the short ones of the scenarios.
         timings = Timings()._asdict()
         deployment = stack.enter_context(Deployment(folder, **timings))
         begun = time.perf_counter()
--- a/tests/bench/builders.py
+++ b/tests/bench/builders.py
@@ -1,4 +1,4 @@
-"""Builders of what the tests of the experiments need."""
+"""Builders for the tests of the simulations."""
 
 from bench.engine import Job, UpstreamModel
 from bench.models import OfferedRequest, RunSpec, UpstreamProfile
@@ -39,7 +39,7 @@
 
 
 class Recorder:
-    """An upstream and the times at which its jobs came along."""
+    """An upstream model, with the times of its jobs' first tokens and ends."""
 
     def __init__(self, profile=PROFILE):
         self.first_by_id = {}
--- a/tests/bench/test_arrivals.py
+++ b/tests/bench/test_arrivals.py
@@ -19,7 +19,7 @@
     assert 0 <= times[0] <= times[-1] <= 400.0
 
 
-def test_bursts_are_as_high_as_said():
+def test_bursts_have_the_burst_rate():
     times = arrival_times(50.0, 40.0, True, np.random.default_rng(3))
     busiest = max(
         ((times >= start) & (times < start + BURST_SECONDS)).sum()
@@ -28,7 +28,7 @@
     assert busiest == pytest.approx(50 * BURST_FACTOR * BURST_SECONDS, rel=0.1)
 
 
-def test_sizes_differ_a_hundredfold_and_prefixes_are_shared():
+def test_sizes_span_a_factor_of_100_and_prefixes_are_shared():
     requests = make_requests(ZAF_ENGINES, 20.0, 200.0, False, 3)
     sizes = [request.prompt - request.shared for request in requests]
     assert np.percentile(sizes, 98) > 100 * np.percentile(sizes, 5)
@@ -38,7 +38,7 @@
     assert 1 < len(documents) < 30
 
 
-def test_prefixes_after_the_document_are_the_requests_own():
+def test_prefixes_beyond_the_document_are_unique_to_the_request():
     requests = make_requests(ZAF_ENGINES, 20.0, 200.0, False, 3)
     tails = [
         prefix_hash
--- a/tests/bench/test_chaos.py
+++ b/tests/bench/test_chaos.py
@@ -1,4 +1,4 @@
-"""The counting of broken promises: each kind of fault must be seen."""
+"""Detection of violated guarantees: each kind of fault must be found."""
 
 import json
 
@@ -37,7 +37,7 @@
     assert find_faults(REQUEST, [heard], ran) == faults
 
 
-def test_short_stream_with_its_end_mark_is_seen() -> None:
+def test_short_stream_with_an_end_marker_is_a_fault() -> None:
     body = json.dumps({"prompt": "a", "max_tokens": 3, "stream": True}).encode()
     request = Request("POST", "/v1/completions", {}, body)
     texts = [responses.token("a", index) for index in range(3)]
--- a/tests/bench/test_engine.py
+++ b/tests/bench/test_engine.py
@@ -5,7 +5,7 @@
 HASHES = (11, 12, 13, 14)
 
 
-def test_lone_job_takes_prefill_and_steps():
+def test_single_job_takes_prefill_plus_decode_steps():
     recorder = Recorder()
     recorder.upstream.submit("a", make_request(), 5.0)
     recorder.upstream.advance(100.0)
@@ -13,7 +13,7 @@
     assert recorder.finished_by_id["a"] == pytest.approx(6.0 + 100 * 0.025)
 
 
-def test_full_batch_decodes_at_the_speed_of_its_steps():
+def test_full_batch_decodes_at_its_step_time():
     recorder = Recorder()
     for name in "abcd":
         recorder.upstream.submit(name, make_request(prompt=1, output=1001), 0.0)
@@ -51,7 +51,7 @@
     assert recorder.first_by_id["b"] == pytest.approx(10.488)
 
 
-def test_cache_forgets_the_least_recently_used():
+def test_cache_evicts_the_least_recently_used():
     recorder = Recorder()
     for number in range(20):
         hashes = tuple(100 * number + level for level in range(4))
@@ -66,7 +66,7 @@
     assert stored - (len(cache.changes) - stored) == 4096 // 512 * 4
 
 
-def test_cancelled_prefill_counts_what_was_computed():
+def test_cancelled_prefill_counts_the_computed_tokens():
     recorder = Recorder()
     job = recorder.upstream.submit("a", make_request(), 0.0)
     recorder.upstream.cancel("a", 0.25)
@@ -74,7 +74,7 @@
     assert (recorder.upstream.running, recorder.upstream.kv_used) == (0, 0)
 
 
-def test_cancelled_decoding_makes_room_and_never_ends():
+def test_cancelled_decoding_frees_memory_and_never_finishes():
     recorder = Recorder()
     recorder.upstream.submit("a", make_request(), 0.0)
     recorder.upstream.cancel("a", 2.0)
@@ -91,7 +91,7 @@
     assert recorder.finished_by_id["a"] == pytest.approx(5 * 3.5)
 
 
-def test_plain_service_works_on_after_a_cancel():
+def test_plain_service_continues_after_a_cancel():
     profile = PROFILE._replace(plain=True, step_per_sequence=0.0)
     recorder = Recorder(profile)
     recorder.upstream.submit("a", make_request(output=100), 0.0)
--- a/tests/bench/test_entry.py
+++ b/tests/bench/test_entry.py
@@ -38,10 +38,12 @@
 GRANT = Granted("1-0", "host-0", "one", "", 1)
 
 
-def test_grant_that_crosses_the_callers_leave_is_given_back():
-    """A caller leaves while the grant for its request is on its way. Were the
-    request sent all the same, the engine would compute a prompt for nobody. The
-    entry host sees that the request has ended and returns the grant."""
+def test_grant_after_the_caller_disconnected_is_returned():
+    """A caller disconnects while the grant for its request is in transit.
+
+    If the request were sent, the engine would compute a prompt without a caller. The
+    entry host must return the grant instead.
+    """
     setup = EntryHostFixture()
     setup.loop.run(10.0)
     setup.hosts.handle_decision(GRANT)
@@ -50,7 +52,7 @@
     assert setup.owner.calls[-1] == ("returned", "1-0", "expired", False)
 
 
-def test_second_grant_is_given_back():
+def test_second_grant_is_returned():
     setup = EntryHostFixture()
     setup.hosts.handle_decision(GRANT)
     setup.hosts.handle_decision(GRANT)
@@ -60,7 +62,7 @@
 
 
 @pytest.mark.parametrize(("max_retries", "attempts"), [(0, 1), (2, 3)])
-def test_refused_caller_comes_back_a_bounded_number_of_times(max_retries, attempts):
+def test_refused_caller_retries_a_limited_number_of_times(max_retries, attempts):
     setup = EntryHostFixture(max_retries)
     for tries in range(5):
         refused = Refused(f"1-{tries}", "host-0", "shed", 1.0)
@@ -71,7 +73,7 @@
     assert setup.calls().count("register") == attempts
 
 
-def test_refused_caller_does_not_come_back_after_its_deadline():
+def test_refused_caller_does_not_retry_after_its_deadline():
     setup = EntryHostFixture(max_retries=2)
     setup.hosts.handle_decision(Refused("1-0", "host-0", "shed", 11.0))
     setup.loop.run(20.0)
--- a/tests/bench/test_replay.py
+++ b/tests/bench/test_replay.py
@@ -20,7 +20,7 @@
     return Result(**{**values, **fields})
 
 
-def test_prompts_share_prefixes_as_the_model_says():
+def test_prompts_share_prefixes_as_in_the_simulation():
     requests = make_requests(ZAF_ENGINES, 10.0, 60.0, False, 3)
     names_by_hash = {}
     for request in requests:
@@ -32,7 +32,7 @@
     assert all(len(names) == 1 for names in names_by_hash.values())
 
 
-def test_useful_is_a_whole_answer_in_time():
+def test_only_a_complete_response_in_time_is_useful():
     request = make_request(deadline=2.0)
     assert classify_outcome(request, make_result()) == "useful"
     assert classify_outcome(request, make_result(total_s=2.1)) == "late"
@@ -45,7 +45,7 @@
     assert classify_outcome(request, make_result(outcome="", status=503)) == "503"
 
 
-def test_summary_counts_each_ask_once():
+def test_summary_counts_each_request_once():
     results = [
         (make_request(1), make_result()),
         (make_request(2), make_result(total_s=3.0)),
--- a/tests/bench/test_run.py
+++ b/tests/bench/test_run.py
@@ -31,7 +31,7 @@
     assert all(a.ended <= a.deadline for a in useful)
 
 
-def test_nothing_is_left_in_the_upstreams():
+def test_upstreams_are_empty_after_a_run():
     hosts, _, _ = simulate(make_spec(load=3.0))
     for upstream in hosts.upstreams_by_name.values():
         assert upstream.model.jobs_by_id == {}
@@ -39,25 +39,25 @@
 
 
 @pytest.mark.parametrize("scheduler", SCHEDULERS)
-def test_same_seed_gives_the_same_run(scheduler):
+def test_same_seed_has_the_same_results(scheduler):
     spec = make_spec(scheduler=scheduler, case="lost-events", load=1.5)
     assert without_time(run(spec)) == without_time(run(spec))
 
 
 @pytest.mark.parametrize("case", sorted(EQUIVALENT_CASE_FOR_BASELINES))
 @pytest.mark.parametrize("scheduler", BASELINES_BY_NAME)
-def test_runs_that_are_not_repeated_would_give_the_same(scheduler, case):
+def test_skipped_runs_would_have_the_same_results(scheduler, case):
     spec = make_spec(scheduler=scheduler, case=case, load=1.5)
     same = {**without_time(run(equivalent_spec(spec))), "case": case}
     assert same == without_time(run(spec))
 
 
-def test_other_seed_gives_another_run():
+def test_different_seeds_have_different_results():
     assert run(make_spec())["goodput"] != run(make_spec(seed=2))["goodput"]
 
 
 @pytest.mark.parametrize("pool", ["zaf-engines", "keskus-engines", "zaf-plain"])
-def test_least_outstanding_is_fine_at_a_fifth_of_capacity(pool):
+def test_least_outstanding_serves_nearly_all_at_a_fifth_of_capacity(pool):
     measures = run(make_spec(pool=pool, load=0.2, duration=80.0))
     for tier in measures["tiers"].values():
         assert tier["useful"] >= 0.97 * tier["offered"]
@@ -82,8 +82,8 @@
     assert speeds == [("bole-1", 0.2, 12.0), ("bole-1", 1.0, 28.0)]
 
 
-class OneUpstream:
-    """Grants everything to an upstream that is not there any more for some."""
+class RecordingScheduler:
+    """A scheduler that grants every request to the newest announced upstream."""
 
     def __init__(self):
         self.calls = Counter()
@@ -108,14 +108,16 @@
         return now + 1.0
 
 
-def test_new_owner_hears_of_running_work_before_waiting_work():
-    """The owner's process dies in the middle of a run. Its requests go on in the
-    engines, and a new owner that did not know them would fill the engines twice.
-    The entry hosts tell it what runs before it takes what waits."""
+def test_new_owner_adopts_running_requests_before_waiting_ones():
+    """The owner's process is killed in the middle of a run.
+
+    Its requests continue in the engines, and a new owner that doesn't track them would
+    overcommit the engines. The entry hosts must register running requests first.
+    """
     schedulers = []
 
     def make():
-        schedulers.append(OneUpstream())
+        schedulers.append(RecordingScheduler())
         return schedulers[-1]
 
     simulate(make_spec(case="owner-killed"), make)
