--- a/bitterntiller/components/logs/__init__.py
+++ b/bitterntiller/components/logs/__init__.py
@@ -1,4 +1,4 @@
-"""Structured log lines on standard output: set-up and unloading."""
+"""Structured logging as JSON lines on standard output."""
 
 from bitterntiller.components.logs.coordinator import LineWriter
 from bitterntiller.components.logs.handler import set_up_handler
@@ -7,7 +7,7 @@
 
 
 async def async_setup(runtime: Runtime) -> LineWriter:
-    """Write events and ordinary log records as JSON lines until the process unloads."""
+    """Write events and log records as JSON lines until the process unloads."""
     writer = LineWriter(runtime.settings.host, runtime.clock, runtime.metrics)
     events.set_writer(writer)
     set_up_handler(writer)
--- a/bitterntiller/components/logs/const.py
+++ b/bitterntiller/components/logs/const.py
@@ -1,4 +1,4 @@
-"""Names and bounds of structured log lines."""
+"""Keys and limits of structured log lines."""
 
 import select
 
@@ -15,34 +15,41 @@
 KIND_SAMPLING = "sampling"
 
 FLUSH_PERIOD = 0.25
-"""Seconds between two writings of what has gathered."""
+"""Seconds between writes of buffered lines."""
 
 MAX_WRITE_BYTES = select.PIPE_BUF
-"""Bytes of one writing, which has whole lines only. A pipe takes as much at once or not
-at all, and whoever reads it by blocks gets the lines whole: of writings of 30 KB each a
-collector was seen to keep 8 KB, which lost two thirds of an owner's lines."""
+"""Bytes of one write, which contains only complete lines.
+
+A pipe accepts this many bytes atomically, so that a collector that reads in blocks gets
+complete lines. One collector kept only 8 KB of each write of 30 KB, which lost two
+thirds of an owner's lines.
+"""
 
 REQUEST_LINES_PER_SECOND = 400
-"""Lines about requests that a host writes, averaged over a second or two; an owner of a
-pool would write a thousand and more. Above it only a sample of the requests is told,
-with all of their lines: the same one on all hosts, by a hash of their ids."""
+"""Lines about requests that a host writes, averaged over one or two seconds.
+
+A pool owner would write 1000 or more. Above the limit only a sample of the requests is
+logged, with all of their lines. The sample depends on a hash of the request id, so that
+it is the same on all hosts.
+"""
 
 MAX_HALVINGS = 10
-"""The least part of the requests that is told, as halvings."""
+"""Limit of the sampling: at least 0.5 ** MAX_HALVINGS of the requests are logged."""
 
 SAMPLE_SECONDS = 1.0
-"""How long lines are counted before the sample changes."""
+"""Seconds for which lines are counted before the sample changes."""
 
 LINES_PER_SECOND = 200
-"""Lines of one kind a second, averaged over BURST_SECONDS, that name no request.
+"""Lines per second of each event kind, averaged over BURST_SECONDS.
 
-A storm of one kind then can't drown the others, nor fill a disk by the hour.
+This applies to lines without a request id. It keeps a burst of one kind from crowding
+out the others and from filling a disk within hours.
 """
 
 BURST_SECONDS = 2.0
 
 MAX_BUFFERED_BYTES = 256 * 1024
-"""Bytes that wait for a reader of standard output that does not keep up."""
+"""Bytes that are buffered for a slow reader of standard output."""
 
 METRIC_DROPPED = "logs.dropped"
 METRIC_LEFT_OUT = "logs.left_out"
--- a/bitterntiller/components/logs/coordinator.py
+++ b/bitterntiller/components/logs/coordinator.py
@@ -1,4 +1,4 @@
-"""Gathers log lines and writes them without ever waiting for their reader."""
+"""Buffer log lines and write them without blocking on their reader."""
 
 import os
 import time
@@ -15,7 +15,7 @@
 
 
 class _TokenBucket:
-    """How many more lines of one kind may be written now."""
+    """A token bucket that limits the lines of one event kind."""
 
     __slots__ = ("at", "left")
 
@@ -34,11 +34,11 @@
 
 
 class LineWriter:
-    """An EventWriter: one JSON object a line on standard output.
+    """An EventWriter that writes one JSON object per line to standard output.
 
-    Lines are gathered and written a few times a second. Where the reader has stopped,
-    they wait up to a bound, and what comes then is dropped and counted: a process that
-    waited for its log would stop serving because nobody reads it.
+    Lines are buffered and written a few times a second. If the reader stops, the buffer
+    grows up to a limit, and further lines are dropped and counted: a process that
+    blocked on its log would stop serving.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         os.set_blocking(fd, False)
 
     def write(self, kind: str, fields: dict[str, Any]) -> None:
-        """Take one event; drop it when there are too many of its kind."""
+        """Buffer one event; drop it if there are too many of its kind."""
         request_id = fields.get(const.ATTR_REQUEST)
         if request_id and not self._sample.includes(request_id):
             self._metrics.count(const.METRIC_LEFT_OUT)
@@ -90,17 +90,17 @@
         self._bytes += len(data)
 
     async def async_run(self) -> None:
-        """Write what has gathered, until cancelled."""
+        """Write buffered lines regularly until cancelled."""
         while True:
             await curio.sleep(const.FLUSH_PERIOD)
             self.flush()
 
     async def async_close(self) -> None:
-        """Write what is left, as far as the reader takes it now."""
+        """Write the remaining lines as far as possible without blocking."""
         self.flush()
 
     def flush(self) -> None:
-        """Write as much as the reader takes at once."""
+        """Write as many lines as possible without blocking."""
         if self._dropped_by_kind:
             self._append(const.KIND_DROPPED, {"by_kind": dict(self._dropped_by_kind)})
             self._dropped_by_kind.clear()
@@ -111,12 +111,12 @@
             while self._lines and self._write_some():
                 continue
         except OSError:
-            # Nobody will ever read it: standard output is closed.
+            # Standard output is closed, so the lines can never be written.
             self._lines.clear()
             self._bytes = 0
 
     def _write_some(self) -> bool:
-        """Write some whole lines; False when the reader takes no more now."""
+        """Write some complete lines; return False if the pipe is full."""
         data = self._lines.popleft()
         while self._lines and len(data) + len(self._lines[0]) <= const.MAX_WRITE_BYTES:
             data += self._lines.popleft()
--- a/bitterntiller/components/logs/handler.py
+++ b/bitterntiller/components/logs/handler.py
@@ -1,4 +1,4 @@
-"""Ordinary log records as structured lines."""
+"""A logging handler that writes records as structured lines."""
 
 import logging
 
@@ -9,7 +9,7 @@
 
 
 class _LineHandler(logging.Handler):
-    """Passes records to a writer; a traceback becomes a field."""
+    """Passes records to a writer, with the traceback as a field."""
 
     def __init__(self, writer: LineWriter) -> None:
         super().__init__(logging.INFO)
@@ -29,13 +29,13 @@
 
 
 def set_up_handler(writer: LineWriter) -> None:
-    """Have all records of this process written by the writer alone."""
+    """Send all log records of this process to the writer only."""
     root = logging.getLogger()
     handler = _LineHandler(writer)
     for logger in (root, logging.getLogger("absl")):
         logger.handlers = [handler]
         logger.setLevel(logging.INFO)
     logging.getLogger("absl").propagate = False
-    # curio warns whenever an operation ends just as its timeout runs out, which is an
-    # everyday race here.
+    # curio warns if an operation completes just as its timeout expires, which is a
+    # frequent and harmless race here.
     logging.getLogger(_QUIET_LIBRARY).setLevel(logging.ERROR)
--- a/bitterntiller/components/logs/sample.py
+++ b/bitterntiller/components/logs/sample.py
@@ -1,4 +1,4 @@
-"""Which requests are told where there are too many to tell all of them."""
+"""Sampling of the requests to log if there are too many."""
 
 import xxhash
 
@@ -8,11 +8,11 @@
 
 
 class RequestSample:
-    """A part of all requests, halved until the lines about them are few enough.
+    """A sample of the requests, halved until its log lines are within the limit.
 
-    Each host chooses its part by its own lines, and whether a request is in a part
-    follows from its id alone. So the requests of a smaller part are in each larger one,
-    and what the busiest host tells is told by all: their stories are whole.
+    Each host sets its fraction by its own number of lines, and whether a request is in
+    a fraction depends only on its id. A smaller sample is therefore contained in each
+    larger one, and a request that the busiest host logs is logged by all hosts.
     """
 
     def __init__(self, now: float) -> None:
@@ -23,11 +23,11 @@
 
     @property
     def fraction(self) -> float:
-        """Return the part of the requests that is told."""
+        """The fraction of the requests that is logged."""
         return 0.5**self._halvings
 
     def includes(self, request_id: str) -> bool:
-        """Count one line about a request; tell whether it is to be written."""
+        """Count a line about a request; return whether to write it."""
         self._offered += 1
         number = xxhash.xxh3_64_intdigest(request_id.encode("utf-8", "surrogatepass"))
         taken = number < self.fraction * _HASHES
@@ -35,10 +35,10 @@
         return taken
 
     def adapt(self, now: float) -> bool:
-        """Choose the part for the next lines; tell whether it has changed.
+        """Set the fraction for the next lines; return whether it changed.
 
-        The part grows again only where there is room for twice as many lines, so that
-        it doesn't change each second.
+        The fraction is doubled only if the lines would then be at most half of the
+        limit, so that it does not change every second.
         """
         if now - self._counting_since < const.SAMPLE_SECONDS:
             return False
--- a/bitterntiller/components/metrics/__init__.py
+++ b/bitterntiller/components/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Counters and timers: kept for the dump, and sent to a statsd server."""
+"""Counters, gauges and timers, for the state dump, scrapers and statsd."""
 
 from bitterntiller.components.metrics.client import StatsdMetrics
 from bitterntiller.components.metrics.coordinator import async_flush_regularly
@@ -8,9 +8,9 @@
 
 
 async def async_setup(runtime: Runtime, metrics: StatsdMetrics, dump: Dump) -> None:
-    """Send the metrics regularly and show them in the dump, until unloading.
+    """Send the metrics regularly and include them in the state dump.
 
-    Where the settings have an address for it, the metrics and the dump are served.
+    If the settings have an address for it, the metrics and the dump are served there.
     """
     runtime.add_diagnostics("metrics", make_diagnostics(metrics))
     await runtime.async_spawn(async_flush_regularly(metrics))
--- a/bitterntiller/components/metrics/client.py
+++ b/bitterntiller/components/metrics/client.py
@@ -1,4 +1,4 @@
-"""Counters, timers and gauges: kept for the dump and sent on by statsd."""
+"""Counters, gauges and timers, kept for the state dump and sent to statsd."""
 
 import re
 import socket
@@ -15,19 +15,19 @@
 
 
 def metric_name(name: str, *parts: str) -> str:
-    """Join a metric's name and its parts by dots.
+    """Join a metric's name and its parts with dots.
 
-    Characters with a meaning to statsd, dots in a part too, become underscores.
+    In the parts, characters that are special to statsd, and dots, become underscores.
     """
     return ".".join((name, *(_UNSAFE.sub("_", part) for part in parts)))
 
 
 class _DatagramClient(StatsClient):
-    """The library's client with sending that neither blocks nor raises."""
+    """A statsd client whose sends neither block nor raise."""
 
     def _send(self, data: str) -> None:
-        # A full send buffer would block the whole process, since curio runs in
-        # one thread; MSG_DONTWAIT makes it an error, and the datagram is lost.
+        # A full send buffer would block the whole process, since curio runs in one
+        # thread. With MSG_DONTWAIT it is an error, and the datagram is dropped.
         try:
             self._sock.sendto(data.encode(), socket.MSG_DONTWAIT, self._addr)
         except OSError:
@@ -37,7 +37,7 @@
 class StatsdMetrics:
     """The Metrics of a process.
 
-    Nothing leaves before flush(). Without an address nothing is sent at all.
+    Values are sent only by flush(), and only if there is an address.
     """
 
     def __init__(self, address: Address | None, prefix: str) -> None:
@@ -61,7 +61,7 @@
             self._unsent_counts[name] += by
 
     def timing(self, name: str, seconds: float) -> None:
-        """Note a duration in seconds."""
+        """Record a duration in seconds."""
         if not self._has_room(self.timers_by_name, name):
             self.count(const.METRIC_DROPPED_METRICS)
             return
@@ -81,11 +81,11 @@
         self.gauges_by_name[name] = value
 
     def counter(self, name: str) -> int:
-        """Return a counter since the start of the process."""
+        """Return the value of a counter since the start of the process."""
         return self.counts_by_name[name]
 
     def flush(self) -> None:
-        """Send what came since the last flush, and all gauges; never blocks."""
+        """Send counts and timings since the last flush and all gauges; never block."""
         if self._client is None:
             return
         pipeline = self._client.pipeline()
@@ -107,7 +107,7 @@
             self._client = None
 
     def snapshot(self) -> dict[str, Any]:
-        """Return everything since the start of the process, for the dump."""
+        """Return all values since the start of the process, for the state dump."""
         timers = sorted(self.timers_by_name.items())
         return {
             "counters": dict(sorted(self.counts_by_name.items())),
@@ -117,7 +117,7 @@
 
     @staticmethod
     def _has_room(values_by_name: dict[str, Any], name: str) -> bool:
-        # Names hold those of services and tiers. A configuration that renames
-        # them again and again would make the tables grow until memory ends;
-        # with the bound, new names are lost and counted instead.
+        # Metric names contain names of services and tiers. A configuration that keeps
+        # renaming these would grow the tables without bound; above the limit, new
+        # names are dropped and counted.
         return name in values_by_name or len(values_by_name) < const.MAX_NAMES
--- a/bitterntiller/components/metrics/const.py
+++ b/bitterntiller/components/metrics/const.py
@@ -1,4 +1,4 @@
-"""Bounds on what is kept of the metrics, and the metrics about them."""
+"""Limits, paths and names of the metrics component."""
 
 DEFAULT_PREFIX = "bitterntiller"
 FLUSH_PERIOD = 1.0
--- a/bitterntiller/components/metrics/coordinator.py
+++ b/bitterntiller/components/metrics/coordinator.py
@@ -1,4 +1,4 @@
-"""When the metrics are sent."""
+"""The regular flush of the metrics."""
 
 import curio
 
@@ -7,7 +7,7 @@
 
 
 async def async_flush_regularly(metrics: StatsdMetrics) -> None:
-    """Flush once a period until cancelled, and close at the end."""
+    """Flush once per period until cancelled, then close."""
     try:
         while True:
             await curio.sleep(const.FLUSH_PERIOD)
--- a/bitterntiller/components/metrics/diagnostics.py
+++ b/bitterntiller/components/metrics/diagnostics.py
@@ -1,4 +1,4 @@
-"""The metrics' share of the dump."""
+"""The metrics' section of the state dump."""
 
 from bitterntiller.components.metrics.client import StatsdMetrics
 from bitterntiller.core.interfaces import Diagnostics
--- a/bitterntiller/components/metrics/exposition.py
+++ b/bitterntiller/components/metrics/exposition.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and histograms as lines of text, as scrapers read them."""
+"""Metrics in the Prometheus text exposition format."""
 
 import re
 from collections.abc import Iterator
@@ -8,11 +8,11 @@
 
 _UNSAFE = re.compile(r"[^a-zA-Z0-9_]")
 _BOUND_STEP = 4
-"""One of so many bounds is told; each is then about 2.4 times the one before."""
+"""Every fourth bound is exposed, so that each is about 2.4 times the previous one."""
 
 
 def render(metrics: StatsdMetrics, prefix: str) -> bytes:
-    """Return all metrics since the start of the process, seconds for durations."""
+    """Return all metrics since the start of the process; durations are in seconds."""
     lines: list[str] = []
     for name, value in sorted(metrics.counts_by_name.items()):
         full = _name(prefix, name, "_total")
--- a/bitterntiller/components/metrics/models.py
+++ b/bitterntiller/components/metrics/models.py
@@ -1,4 +1,4 @@
-"""What is kept of a timer for the dump."""
+"""Histograms of timers."""
 
 from bisect import bisect_left
 from itertools import accumulate
@@ -9,11 +9,11 @@
 _BUCKETS = 75
 
 BOUNDS = tuple(_SMALLEST * _GROWTH**index for index in range(_BUCKETS))
-"""The upper bounds of the buckets in seconds, from 0.1 ms to about 25 minutes."""
+"""Upper bounds of the buckets in seconds, from 0.1 ms to about 25 minutes."""
 
 
 class TimerSummary(TypedDict):
-    """A timer in the dump; seconds, each percentile at most a quarter too high."""
+    """A timer in the state dump, in seconds; percentiles are at most 25% too high."""
 
     count: int
     mean: float
@@ -23,7 +23,7 @@
 
 
 class Histogram:
-    """Counts of durations in buckets whose bounds grow by a quarter."""
+    """Counts of durations in buckets; each bound is 25% above the previous one."""
 
     def __init__(self) -> None:
         self._counts = [0] * (len(BOUNDS) + 1)
@@ -40,15 +40,15 @@
 
     @property
     def total(self) -> float:
-        """Return the sum of all durations, in seconds."""
+        """The sum of all durations in seconds."""
         return self._sum
 
     def cumulative(self) -> list[int]:
-        """Return how many durations are at most each bound, and how many there are."""
+        """Return the number of durations up to each bound, and their total number."""
         return list(accumulate(self._counts))
 
     def quantile(self, fraction: float) -> float:
-        """Return an upper bound of the duration that this fraction stays under."""
+        """Return an upper bound of the given quantile."""
         rank = fraction * self._count
         seen = 0
         for bound, count in zip(BOUNDS, self._counts, strict=False):
@@ -58,7 +58,7 @@
         return self._max
 
     def summary(self) -> TimerSummary:
-        """Return the figures for the dump."""
+        """Return the summary for the state dump."""
         return TimerSummary(
             count=self._count,
             mean=self._sum / self._count if self._count else 0.0,
--- a/bitterntiller/components/metrics/server.py
+++ b/bitterntiller/components/metrics/server.py
@@ -1,4 +1,4 @@
-"""Serves the metrics and the dump of a process at an address of their own."""
+"""Serve the metrics and the state dump of a process on their own address."""
 
 import json
 from collections.abc import Callable, Mapping
@@ -26,7 +26,7 @@
 
 
 class MetricsPort:
-    """Answers GET of the metrics and of the state; neither holds secrets."""
+    """Serves the metrics and the state dump; neither contains secrets."""
 
     def __init__(
         self, runtime: Runtime, listen: Address, metrics: StatsdMetrics, dump: Dump
--- a/bitterntiller/daemon/__init__.py
+++ b/bitterntiller/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: the wiring of all parts of one process, above the parts."""
+"""The daemon, which sets up and runs all components of a process."""
--- a/bitterntiller/daemon/process.py
+++ b/bitterntiller/daemon/process.py
@@ -1,4 +1,4 @@
-"""Wires the parts of one process and runs it until it is told to stop."""
+"""Set up the components of a process and run it until a stop signal."""
 
 import signal
 from typing import NamedTuple
@@ -46,7 +46,7 @@
 
 
 class Parts(NamedTuple):
-    """The parts that the stopping of a process has to do with."""
+    """The components that take part in a clean stop."""
 
     node: NodeCoordinator
     entry: EntryCoordinator | None
@@ -55,7 +55,7 @@
 
 
 def make_runtime(settings: Settings, clock: Clock) -> Runtime:
-    """Return a runtime whose links are not yet listening."""
+    """Return a runtime whose links don't listen yet."""
     statsd = StatsdMetrics(settings.statsd, f"{STATSD_PREFIX}.{settings.host}")
     runtime = Runtime(settings, clock, statsd)
     own = Peer(settings.host, runtime.incarnation, str(settings.listen.peer_address))
@@ -66,7 +66,7 @@
 
 
 async def async_setup_parts(runtime: Runtime) -> Parts:
-    """Set all parts of this process up, in the order in which they need each other."""
+    """Set up all components of this process, in the order of their dependencies."""
     roles = runtime.settings.roles
     await metrics.async_setup(runtime, runtime.metrics, make_dump(runtime))
     await links.async_setup(runtime, runtime.links)
@@ -98,7 +98,7 @@
 
 
 async def async_run(settings: Settings) -> int:
-    """Run a process until a signal; return its exit code."""
+    """Run a process until a stop signal or a failure; return its exit code."""
     runtime = make_runtime(settings, RuntimeClock())
     async with runtime.stack:
         signals = SignalReceiver(signal.SIGTERM, signal.SIGINT)
@@ -106,12 +106,14 @@
         try:
             parts = await async_setup_parts(runtime)
         except BrokenInvariantError as error:
-            logging.error("not started: %s", error)
+            logging.error("start-up failed: %s", error)
             return EXIT_FAILED
-        logging.info("host %s runs as %s", settings.host, ", ".join(settings.roles))
+        logging.info(
+            "host %s started with roles %s", settings.host, ", ".join(settings.roles)
+        )
         await _async_until_stopped(runtime, signals)
         if runtime.failure is not None:
-            logging.error("stopped by %s", runtime.failure)
+            logging.error("stopped by an error: %s", runtime.failure)
             return EXIT_FAILED
         return await _async_stop(runtime, parts, signals)
 
@@ -123,11 +125,11 @@
 
 
 async def _async_stop(runtime: Runtime, parts: Parts, signals: SignalReceiver) -> int:
-    """Stop cleanly: no new work, pools handed over, requests in progress finished.
+    """Stop cleanly: accept no new work, release the pools, finish running requests.
 
-    A second signal ends the waiting; what it cuts is said.
+    A second signal ends the wait; the requests that it aborts are logged.
     """
-    logging.info("stopping: no new work is taken")
+    logging.info("stopping: no new requests are accepted")
     parts.node.set_draining()
     if parts.entry is not None:
         await parts.entry.async_begin_drain()
@@ -141,15 +143,15 @@
         await group.spawn(signals.async_get)
     left = parts.entry.unfinished()
     if not left:
-        logging.info("stopped with no request in progress")
+        logging.info("stopped with no requests in progress")
         return EXIT_OK
     why = "the shutdown limit" if group.completed is drained else "a second signal"
-    logging.warning("%s cuts %d requests: %s", why, len(left), ", ".join(left))
+    logging.warning("%s aborted %d requests: %s", why, len(left), ", ".join(left))
     return EXIT_CUT
 
 
 async def _async_release_pools(runtime: Runtime, parts: Parts) -> None:
-    """Give the owned pools back first, so that waiting work finds a new owner."""
+    """Release the owned pools first, so that waiting requests get a new owner."""
     if parts.dispatch is None:
         return
     pools = list(parts.dispatch.pools_by_name)
@@ -158,4 +160,4 @@
     timeout = runtime.settings.timings.link_call
     handed = await parts.node.async_release_pools(pools, timeout)
     if not handed:
-        logging.warning("control did not answer; pools move when the lease ends")
+        logging.warning("control did not reply; the pools move when the lease expires")
--- a/bitterntiller/protocol/__init__.py
+++ b/bitterntiller/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""The Thrift structures that the hosts exchange, and their encoding."""
+"""The Thrift messages between hosts, and their encoding."""
 
 from pathlib import Path
 from typing import Any
@@ -29,8 +29,8 @@
 TYPE_BY_KIND: dict[int, type] = {kind: cls for cls, kind in KIND_BY_TYPE.items()}
 
 
-# The codec takes a length from the bytes as it is: a negative one is a SystemError
-# of the interpreter, a huge one a MemoryError.
+# The codec does not check lengths: a negative one raises SystemError, a huge one
+# MemoryError.
 _DECODE_ERRORS = (
     TException,
     EOFError,
@@ -47,15 +47,15 @@
 
 
 def encode(message: Any) -> bytes:
-    """Return the bytes of a message."""
+    """Encode a message."""
     return serialize(message, _FACTORY)
 
 
 def decode(cls: type, data: bytes) -> Any:
-    """Return the message that the bytes hold.
+    """Decode a message of the given type.
 
-    Raise MalformedMessageError when they are truncated, of another type, or
-    lack a required field.
+    Raise MalformedMessageError if the bytes are truncated, are of another type or lack
+    a required field.
     """
     message = cls()
     try:
@@ -67,7 +67,7 @@
 
 
 def _check_required(message: Any) -> None:
-    """Refuse what the codec lets pass: lacking fields and strings not in UTF-8."""
+    """Reject what the codec accepts: missing fields and strings that aren't UTF-8."""
     for field in message.thrift_spec.values():
         kind, name, required = field[0], field[1], field[-1]
         value = getattr(message, name)
--- a/bitterntiller/protocol/flat.py
+++ b/bitterntiller/protocol/flat.py
@@ -1,4 +1,4 @@
-"""Checks a stranger's structure before the codec sees it."""
+"""Check structures from unauthenticated peers before they are decoded."""
 
 from thriftpy2.thrift import TType
 
@@ -18,9 +18,9 @@
 def check_flat(data: bytes) -> None:
     """Raise MalformedMessageError unless data is a structure of plain fields.
 
-    The codec allocates what a length in the bytes says before it looks whether
-    they are there: ten bytes of a stranger could make the process hold two
-    gigabytes. Here each length is compared with the bytes that are left.
+    The codec allocates memory for a length before it checks that the bytes exist, so
+    ten bytes from an unauthenticated peer could allocate 2 GB. This function compares
+    each length with the number of remaining bytes.
     """
     position = 0
     while position < len(data):
--- a/bitterntiller/protocol/messages.thrift
+++ b/bitterntiller/protocol/messages.thrift
@@ -1,17 +1,17 @@
 /*
  * Messages between the processes of bitterntiller.
  *
- * Every message travels in one Frame, length-prefixed by four bytes, over the one
- * TCP connection of a pair of hosts. Times are durations in milliseconds, never
- * points in time, because the clocks of two hosts have nothing in common.
- * A field is never renumbered; a removed one leaves its number unused.
+ * Every message is sent in one Frame, with a length prefix of four bytes, over the
+ * one TCP connection between a pair of hosts. Times are durations in milliseconds,
+ * never timestamps, because the clocks of hosts are not synchronized.
+ * Fields are never renumbered; the number of a removed field stays unused.
  */
 
 struct Frame {
     1: required i16 kind,          // MessageKind
-    2: required i64 call,          // 0: no reply is awaited
-    3: required bool reply,        // true: answers the call of that number
-    4: required binary body,       // the message of that kind
+    2: required i64 call,          // 0: no reply is expected
+    3: required bool reply,        // true: the reply to the call with that number
+    4: required binary body,       // the encoded message of that kind
 }
 
 enum MessageKind {
@@ -40,16 +40,16 @@
 
 struct Hello {
     1: required string host,
-    2: required string incarnation,   // new at every start of the process
+    2: required string incarnation,   // new at each start of the process
     3: required binary proof,         // HMAC-SHA256 of the nonce, host, incarnation, address
-    4: required string address,       // the internal address that peers reach it at
+    4: required string address,       // the internal address where peers connect to it
 }
 
 struct HelloReply { 1: required string host, 2: required string incarnation }
 
 struct Fault { 1: required i32 code, 2: required string text }
 
-/* Asked on a connection that is silent though something was sent on it. */
+/* Liveness check on a connection that received nothing after data was sent. */
 struct LinkPing { 1: required bool unused }
 
 struct LinkPong { 1: required bool unused }
@@ -70,16 +70,16 @@
     4: required string tier,
     5: required i32 prompt_tokens,        // estimate
     6: required i32 output_tokens,        // estimate
-    7: required i32 deadline_in_ms,       // what is left of it
-    8: required list<i64> prefix_hashes,  // of growing prompt prefixes, shortest first
+    7: required i32 deadline_in_ms,       // remaining time
+    8: required list<i64> prefix_hashes,  // of prompt prefixes, shortest first
     9: required string entry_host,
     10: required i32 waited_ms,
-    11: required list<string> tried,      // upstreams proved not to have run it
-    12: optional list<i32> prefix_tokens, // tokens of each prefix, where the caller told them
-    13: optional i32 first_by_ms,         // what is left until the first output is late; may be negative
-    14: optional i32 start_by_ms,         // what is left until the caller gives up without a first output
-    15: optional i64 fingerprint,         // the same for each copy of a request
-    16: optional string route,            // while a rollout of the service is judged
+    11: required list<string> tried,      // upstreams that certainly did not run it
+    12: optional list<i32> prefix_tokens, // tokens of each prefix, if the caller gave them
+    13: optional i32 first_by_ms,         // time until the first output is late; may be negative
+    14: optional i32 start_by_ms,         // time until the caller gives up without a first output
+    15: optional i64 fingerprint,         // the same for all copies of a request
+    16: optional string route,            // while a rollout of the service is evaluated
 }
 
 struct Grant {
@@ -89,8 +89,8 @@
     4: required string upstream,
     5: required string address,           // IP:port
     6: required string upstream_incarnation,
-    7: required i32 valid_ms,             // counted from the arrival of the grant
-    8: optional bool rate_limited,             // the owner believes that the upstream names a limit
+    7: required i32 valid_ms,             // from the arrival of the grant
+    8: optional bool rate_limited,        // the owner expects responses of the upstream to state a rate limit
 }
 
 struct Refusal {
@@ -107,7 +107,7 @@
 struct ProgressItem {
     1: required string request_id,
     2: required i32 output_tokens,
-    3: optional i32 first_ms,             // from the sending to the first output, once
+    3: optional i32 first_ms,             // time from sending to the first output; sent once
 }
 
 struct Progress { 1: required string pool, 2: required list<ProgressItem> items }
@@ -118,14 +118,14 @@
     3: required string upstream,
     4: required string outcome,
     5: required i32 output_tokens,
-    6: required i32 cached_tokens,       // -1: the upstream did not say
-    7: required i32 first_token_ms,      // -1: none came
+    6: required i32 cached_tokens,       // -1: not reported by the upstream
+    7: required i32 first_token_ms,      // -1: there was none
     8: required i32 total_ms,
     9: required bool in_time,
-    10: optional Load load,              // what the upstream's answer told of its load
+    10: optional Load load,              // load reported in the upstream's response
 }
 
-/* A grant that was not used: the request had not run. */
+/* A grant that was not used, so the request did not run. */
 struct Returned {
     1: required string request_id,
     2: required string pool,
@@ -136,16 +136,16 @@
 
 struct RunningItem { 1: required Register request, 2: required string upstream, 3: required i32 output_tokens }
 
-/* What an answer named as the most that its upstream takes from all hosts together. */
+/* The rate limit of an upstream for all hosts together, as stated in a response. */
 struct UpstreamLimit {
     1: required string pool,
     2: required string upstream,
     3: required string incarnation,
-    4: optional double limit,            // requests a second; absent: it named none
-    5: required i32 age_ms,              // since the answer began
+    4: optional double limit,            // requests per second; absent: the response stated none
+    5: required i32 age_ms,              // since the response began
 }
 
-/* All that an entry host has with a pool, told to a new owner. */
+/* All requests that an entry host has with a pool, sent to a new owner. */
 struct Reregister {
     1: required string pool,
     2: required i64 epoch,
@@ -154,77 +154,77 @@
     5: required list<RunningItem> running,
 }
 
-/* The ids of all requests that an entry host has with a pool, told every few seconds. */
+/* The ids of all requests that an entry host has with a pool, sent every few seconds. */
 struct Live { 1: required string pool, 2: required string entry_host, 3: required list<string> request_ids }
 
-/* The ids of requests that have ended at an entry host of late, told several times each. */
+/* The ids of requests that recently ended at an entry host; each is sent several times. */
 struct EndedRequests { 1: required string entry_host, 2: required list<string> request_ids }
 
-/* What a workspace's requests have used at one entry host, all about the same time ago. */
+/* Usage of a workspace's requests at one entry host, all of about the same age. */
 struct Usage {
     1: required string workspace,
     2: required i64 amount,
     3: required i32 age_ms,
 }
 
-/* What a workspace's waiting requests at one entry host would use; told whole each time. */
+/* What a workspace's waiting requests at one entry host would use; complete in each report. */
 struct Held { 1: required string workspace, 2: required i64 amount }
 
-/* What is left of a workspace's quota over all hosts; below 0 when it is overdrawn. */
+/* What is left of a workspace's quota over all hosts; negative if exceeded. */
 struct QuotaLevel {
     1: required string workspace,
-    2: required i64 amount,              // what is left of the window
-    3: optional i64 paced,               // what of it may be used now
-    4: optional i64 lent,                // what the host may use of it without asking
+    2: required i64 amount,              // left in the window
+    3: optional i64 paced,               // of that, what may be used now
+    4: optional i64 lent,                // of that, what the host may use without asking
 }
 
-/* Told by every entry host to the owner it uses, a few times a second; number grows with each. */
+/* Sent by each entry host to the owners that it uses, a few times a second; number increases by each. */
 struct EntryReport {
     1: required string entry_host,
     2: required string incarnation,
     3: required i64 number,
     4: required list<Usage> used,        // since the last report
     5: required list<Held> held,
-    6: optional list<string> ended,      // ids of requests that have ended here of late
-    7: optional bool counting,           // true: to the host that counts quotas for this one
-    8: optional list<i64> settled,       // numbers of reservations that were used or given up
-    9: optional i32 within_ms,           // the next report comes within this time
+    6: optional list<string> ended,      // ids of requests that recently ended here
+    7: optional bool counting,           // true: the receiver is the counting host of the sender
+    8: optional list<i64> settled,       // numbers of reservations that were used or released
+    9: optional i32 within_ms,           // time until the next report, at most
 }
 
 struct EntryReportReply {
-    1: required bool ready,              // false: not able to own pools now
+    1: required bool ready,              // false: can't own pools now
     2: required string incarnation,
     3: required i64 number,
     4: required list<QuotaLevel> levels,
-    5: required i32 entry_hosts,         // how many report here
+    5: required i32 entry_hosts,         // number of entry hosts that report here
 }
 
-/* Asks the counting host to reserve what a request would use of its workspace's quota. */
+/* Asks the counting host to reserve quota of the workspace for a request. */
 struct QuotaAsk {
     1: required string request_id,
     2: required string workspace,
     3: required i64 amount,
     4: required string entry_host,
-    5: required i32 patience_ms,         // how long the request may wait in the line
-    6: required i32 latest_retry_ms,         // the latest return that its caller would make
-    7: required i64 retry_fingerprint,            // equal for a request and its later copies
-    8: required bool repeat,             // it has run already and is to run once more
-    9: required i64 reservation,         // the host's number for what it asks to reserve
-    10: required string kind,            // the requests among which quotas are shared
+    5: required i32 patience_ms,         // how long the request may wait in the quota queue
+    6: required i32 latest_retry_ms,     // the latest retry that its caller would make
+    7: required i64 retry_fingerprint,   // the same for a request and its retries
+    8: required bool repeat,             // the request has run already and is to run again
+    9: required i64 reservation,         // the sender's number of the reservation
+    10: required string kind,            // the kind of requests that share quotas
 }
 
 struct QuotaAnswer {
     1: required string status,           // reserved, refused, not-counting
-    2: required i64 left,                // of the window
-    3: required i64 paced,               // what of it may be used now
-    4: required i64 ahead,               // what waited before it in the line
+    2: required i64 left,                // in the window
+    3: required i64 paced,               // of that, what may be used now
+    4: required i64 ahead,               // amount queued before it
     5: required i32 waited_ms,
     6: required i32 retry_after_ms,      // of a refusal
-    7: required bool retry_reserved,             // room is kept for its return at that time
-    8: required string incarnation,      // of the answering process
+    7: required bool retry_reserved,      // quota is reserved for a retry at that time
+    8: required string incarnation,      // of the replying process
 }
 
-/* The end of an upstream's process while it ran a request. */
+/* A crash of an upstream's process while it ran a request. */
 struct CrashItem {
     1: required i64 fingerprint,
     2: required string upstream,
@@ -232,16 +232,16 @@
     4: required i64 age_ms,
 }
 
-/* The crashes of a request that are older than this count no more. */
+/* Crashes of a request that are older than this no longer count. */
 struct ClearingItem { 1: required i64 fingerprint, 2: required i64 age_ms }
 
-/* Told to the owners of pools, and by these to all hosts; answered by what is not in it. */
+/* Sent to the pool owners, and by these to all hosts; the reply has what the report lacks. */
 struct CrashReport {
     1: required string host,
-    2: required bool broadcast  ,            // the receiver is to tell all hosts
+    2: required bool broadcast,           // the receiver is to forward it to all hosts
     3: required list<CrashItem> crashes,
     4: required list<ClearingItem> clearings,
-    5: optional i64 digest,              // of all that the sender knows; it asks for the receiver's
+    5: optional i64 digest,              // of all records of the sender; requests those of the receiver
 }
 
 /* ---- upstreams ---- */
@@ -260,7 +260,7 @@
     9: required i32 kv_tokens,
     10: optional Load load,
     11: required list<CacheEvent> cache_events,
-    12: optional i32 warm_in_ms,            // until then it is slower than later
+    12: optional i32 warm_in_ms,         // time until it reaches full speed
 }
 
 struct AnnounceReply { 1: required string status }   // accepted, stale, no-owner
@@ -292,29 +292,29 @@
     6: required i64 config_version,      // newest version in force on the node
     7: required i64 directory_version,   // newest directory the node holds
     8: required bool draining,
-    9: optional bool leased,             // the node's lease was valid when this was sent
+    9: optional bool leased,             // the node's lease was valid at the time of sending
     10: optional i64 upstreams_version,  // newest list of upstreams the node holds
     11: optional i64 rollouts_version,   // newest version rules the node holds
 }
 
 struct ConfigChange { 1: required i64 version, 2: required binary patch }  // JSON merge patch
 
-/* The hosts and the owners of pools, whole when the node's copy is old. */
+/* The complete lists of hosts and pool owners; sent if the node's copy is outdated. */
 struct Directory {
     1: required i64 version,
     2: required list<HostEntry> hosts,
     3: required list<PoolOwner> owners,
-    4: optional bool partial,            // a new leader has not yet heard all hosts
+    4: optional bool partial,            // a new leader has not yet received heartbeats of all hosts
 }
 
-/* All registered upstreams; the version is the index of the last change in the log. */
+/* All registered upstreams; version is the log index of the last change. */
 struct UpstreamList { 1: required i64 version, 2: required list<Announce> upstreams }
 
-/* Which versions of a service's upstreams may get requests; empty for none named. */
+/* Which versions of a service's upstreams may get requests; empty if not set. */
 struct ServiceVersionRules {
     1: required string pool,
     2: required string serving,
-    3: required string candidate,        // of a rollout that is judged
+    3: required string candidate,        // of a rollout under evaluation
     4: required string denied,           // of the last rollout that was reverted
     5: required i64 number,              // of the rollout
 }
@@ -324,18 +324,18 @@
 struct HeartbeatReply {
     1: required string status,           // granted, not-leader, unknown-host
     2: required string leader,           // address of the leader, if known
-    3: required i32 lease_ms,            // counted from the sending of the heartbeat
+    3: required i32 lease_ms,            // from the sending of the heartbeat
     4: required i64 config_version,
     5: optional list<ConfigChange> changes,
-    6: optional binary config,           // whole, when the node is far behind
+    6: optional binary config,           // complete, if the node is too far behind for changes
     7: optional Directory directory,
     8: required i64 term,
-    9: optional i32 next_ms,             // when the next heartbeat is wanted
-    10: optional UpstreamList upstreams, // when the node's list is another
-    11: optional VersionRulesList rollouts,  // when the node's rules are others
+    9: optional i32 next_ms,             // time until the next heartbeat is due
+    10: optional UpstreamList upstreams, // if the node's list is outdated
+    11: optional VersionRulesList rollouts,  // if the node's rules are outdated
 }
 
-/* The announcement of an upstream to control, by whichever host took it. */
+/* The announcement of an upstream to control, sent by the host that received it. */
 struct RegisterUpstream { 1: required Announce upstream }
 
 struct RegisterUpstreamReply { 1: required string status, 2: required string leader }   // ok, stale, unknown, not-leader
@@ -348,7 +348,7 @@
     1: required string change_id,
     2: required i64 base_version,
     3: required binary config,
-    4: optional i64 number,        // the operator's own number: the highest takes effect, base_version is not compared
+    4: optional i64 number,        // the operator's own number: the highest takes effect, base_version is ignored
 }
 
 struct ChangeReply {
@@ -397,7 +397,7 @@
 
 /* ---- rollouts ---- */
 
-/* The order to move a service to upstreams of another version within a time. */
+/* Moves a service to upstreams of another version within a duration. */
 struct StartRollout { 1: required string pool, 2: required string to, 3: required i64 duration_ms }
 
 struct GetRollout { 1: required string pool }
@@ -412,25 +412,25 @@
     7: optional binary document,   // for operators, as JSON
 }
 
-/* Cumulative counts of one cell of evidence, in the order of rollouts.models.Counts. */
+/* Cumulative counts of one second, route and upstream, in the order of rollouts.models.Counts. */
 struct EvidenceItem {
     1: required i32 second,
     2: required string route,
-    3: required string upstream,   // empty: all of the old version
+    3: required string upstream,   // empty: all upstreams of the old version
     4: required list<i32> counts,
 }
 
-/* What one owner has counted since the order; evidence has what is new since its last report. */
+/* What one owner has counted since the rollout started; evidence has only what changed since its last report. */
 struct RolloutReport {
     1: required string pool,
     2: required i64 number,
-    3: required string owner,      // names the process
+    3: required string owner,      // identifies the process
     4: required i64 reached,
     5: required i64 exposed,
     6: required i32 old_running,
     7: required i32 wanted,        // requests that it would send to the new version
     8: required list<EvidenceItem> evidence,
-    9: optional i64 cap,           // set by the leader: the most to be allotted to all owners
+    9: optional i64 cap,           // set by the leader: the maximum allotted to all owners
     10: optional i64 told_ms,      // set by the leader: cluster time of the report
 }
 
@@ -439,10 +439,10 @@
     2: required i32 allowed,
     3: optional string phase,
     4: optional string leader,
-    5: optional i64 elapsed_ms,    // since the order
+    5: optional i64 elapsed_ms,    // since the rollout started
 }
 
-/* The leader's verdict on the rollout of that number. */
+/* The leader's decision on the rollout with that number. */
 struct RolloutStep {
     1: required string pool,
     2: required i64 number,
@@ -454,13 +454,13 @@
 
 struct Assignment {
     1: required string pool,
-    2: required string host,             // empty: the pool has no owner any more
+    2: required string host,             // empty: the pool no longer has an owner
     3: required string incarnation,
     4: required string address,
-    5: required i64 expected_epoch,      // of the owner before, 0 for none
+    5: required i64 expected_epoch,      // of the previous owner, 0 for none
 }
 
-/* Whatever depends on time or settings is in the command, for one result everywhere. */
+/* Contains everything that depends on time or settings, so that all replicas get the same result. */
 struct Command {
     1: required i64 time_ms,             // cluster time of the leader
     2: required i64 forget_changes_ms,   // outcomes older than this are dropped
@@ -470,13 +470,13 @@
     6: optional list<Assignment> assignments,
     7: optional ReleasePools release,
     8: optional list<Announce> upstreams,
-    9: optional bool settle_versions,    // versions of upstreams serve by order only
+    9: optional bool settle_versions,    // new versions serve only after an ordered rollout
     10: optional StartRollout rollout,
     11: optional RolloutReport rollout_report,
     12: optional RolloutStep rollout_step,
 }
 
-/* What applying a command gave. */
+/* The result of applying a command. */
 struct CommandResult {
     1: optional ChangeReply change,
     2: optional list<ClaimReply> claims,
@@ -500,7 +500,7 @@
 
 struct Entry { 1: required i64 index, 2: required i64 term, 3: required i16 kind, 4: required binary data }
 
-/* boot names the sender's start; what an earlier start sent is dropped. */
+/* boot identifies the sender's start; messages from an earlier start are dropped. */
 
 struct PreVote {
     1: required i64 term, 2: required string candidate, 3: required i64 last_index, 4: required i64 last_term,
@@ -518,7 +518,7 @@
     1: required i64 term, 2: required string voter, 3: required bool granted, 4: optional i64 boot,
 }
 
-/* A leader that stops has the voter with the longest log campaign at once. */
+/* A leader that stops makes the voter with the longest log campaign at once (leadership transfer). */
 struct TimeoutNow { 1: required i64 term, 2: required string leader, 3: optional i64 boot }
 
 struct Append {
@@ -528,7 +528,7 @@
 struct AppendReply {
     1: required i64 term, 2: required string follower, 3: required bool matched, 4: required i64 match_index,
     5: required i64 hint_index, 6: required i64 round,
-    7: optional bool counted,            // false: not yet allowed to vote, count it in no quorum
+    7: optional bool counted,            // false: may not vote yet, so it counts in no quorum
     8: optional i64 boot,
 }
 
@@ -542,11 +542,11 @@
     6: optional bool done, 7: optional bool counted, 8: optional i64 boot,
 }
 
-/* Asked of all other voters at each start, before the first vote. */
+/* Sent to all other voters at each start, before the first vote. */
 struct ReturnCheck {
     1: required i64 term, 2: required string replica, 3: required i64 last_index,
     4: required i64 members_index, 5: optional i64 boot,
-    6: optional string address,          // where the sender is reached, IP:port
+    6: optional string address,          // address of the sender, IP:port
 }
 struct ReturnCheckReply {
     1: required i64 term, 2: required string voter, 3: required i64 asked_boot,
@@ -562,8 +562,8 @@
 struct JoinReply {
     1: required string status,           // fresh, formed, exists, accepted, not-leader, full
     2: required string leader,
-    3: optional string replica, 4: optional string host, 5: optional string address,  // who answers
-    6: optional binary members,          // formed: the first membership, entry 1 of the log
+    3: optional string replica, 4: optional string host, 5: optional string address,  // the replying replica
+    6: optional binary members,          // formed: the initial membership, entry 1 of the log
 }
 
 /* ---- the replicated log on disk ---- */
@@ -572,7 +572,7 @@
     1: required string replica, 2: required i64 boot, 3: required i64 term, 4: required i64 index,
 }
 
-/* What one synced write holds, applied in this order. */
+/* Contents of one synced write, applied in this order. */
 struct LogBatch {
     1: optional i64 term, 2: optional string vote, 3: optional i64 boot,
     4: optional list<Mark> marks,
--- a/bitterntiller/protocol/statuses.py
+++ b/bitterntiller/protocol/statuses.py
@@ -1,7 +1,9 @@
-"""Words in messages that both sides compare."""
+"""Status values in messages that both sides compare."""
 
 QUOTA_RESERVED = "reserved"
 QUOTA_REFUSED = "refused"
 QUOTA_NOT_COUNTING = "not-counting"
-"""What a host answers to a question for a part of a quota; one that may not count now
-sends its asker on to another."""
+"""Statuses of QuotaAnswer, the reply to QuotaAsk.
+
+A host that may not count now replies not-counting, so that the sender asks another one.
+"""
--- a/tests/components/logs/test_writer.py
+++ b/tests/components/logs/test_writer.py
@@ -1,4 +1,4 @@
-"""Structured log lines: bounded, and never waited for."""
+"""Tests of structured log lines."""
 
 import json
 import os
@@ -40,8 +40,8 @@
     assert second["n"] == 2
 
 
-def test_storm_of_one_kind_is_cut_and_counted(pipe):
-    """A fault that repeats drowns the lines that explain it."""
+def test_burst_of_one_kind_is_limited_and_counted(pipe):
+    """A repeating event must not crowd out lines of other kinds."""
     clock = ManualClock()
     writer = LineWriter("bole-1", clock, FakeMetrics(), pipe[1])
     for number in range(5000):
@@ -60,8 +60,8 @@
     assert [line["event"] for line in read(pipe[0])] == ["storm"]
 
 
-def test_reader_that_has_stopped_blocks_nobody(pipe):
-    """A host stops serving because nobody reads its standard output."""
+def test_stopped_reader_does_not_block_the_writer(pipe):
+    """A host must keep serving if nobody reads its standard output."""
     clock = ManualClock()
     metrics = FakeMetrics()
     writer = LineWriter("bole-1", clock, metrics, pipe[1])
@@ -87,7 +87,7 @@
         return b""
 
 
-def test_closed_standard_output_ends_nothing(pipe):
+def test_closed_standard_output_raises_no_error(pipe):
     reading, writing = os.pipe()
     os.close(reading)
     writer = LineWriter("bole-1", ManualClock(), FakeMetrics(), writing)
@@ -96,11 +96,14 @@
     os.close(writing)
 
 
-def test_each_writing_is_whole_lines_that_a_pipe_takes_at_once(pipe, monkeypatch):
-    """Two thirds of the lines of a busy owner are missing, and some are cut.
+def test_each_write_is_complete_lines_within_the_atomic_size_of_a_pipe(
+    pipe, monkeypatch
+):
+    """A write must not exceed what a pipe accepts atomically.
 
-    It writes what has gathered in a quarter of a second at once, some 30 KB; whoever
-    collects the logs takes 8 KB of each writing.
+    A busy owner wrote the lines of a quarter of a second at once, about 30 KB. The log
+    collector kept 8 KB of each write, so that two thirds of the lines were missing and
+    some were truncated.
     """
     writings = []
     write = os.write
@@ -121,7 +124,7 @@
 
 
 def flushed(writer: LineWriter, fd: int) -> list[dict]:
-    """Return all that a writer has gathered; a pipe takes a part of it at a time."""
+    """Flush a writer until empty, since a pipe holds only a part; return the lines."""
     lines = []
     writer.flush()
     while more := read(fd):
@@ -131,7 +134,7 @@
 
 
 def logged_requests(pipe, requests: int, seconds: int) -> set[str]:
-    """Return the requests that a host tells which serves so many of them a second."""
+    """Return the requests of the last second that a host logs at a rate of requests."""
     clock = ManualClock()
     writer = LineWriter("bole-1", clock, FakeMetrics(), pipe[1])
     lines = []
@@ -145,11 +148,11 @@
     return {request for request in requests if request.startswith(last)}
 
 
-def test_busy_host_tells_a_sample_of_whole_requests(pipe):
-    """Of most requests the logs have a part of the story only.
+def test_busy_host_logs_a_sample_of_requests_with_all_their_lines(pipe):
+    """All hosts must log the same sample of the requests.
 
-    An owner decides on more requests a second than it may write lines, and each host
-    drops other lines.
+    An owner handles more requests per second than it may log. If each host dropped
+    other lines, the logs of most requests would be incomplete.
     """
     all_of_them = logged_requests(pipe, const.REQUEST_LINES_PER_SECOND // 2, 4)
     many = logged_requests(pipe, 4 * const.REQUEST_LINES_PER_SECOND, 4)
@@ -164,7 +167,7 @@
     }
 
 
-def test_sample_is_told_when_it_changes(pipe):
+def test_change_of_the_sample_is_logged(pipe):
     clock = ManualClock()
     metrics = FakeMetrics()
     writer = LineWriter("bole-1", clock, metrics, pipe[1])
--- a/tests/components/metrics/test_client.py
+++ b/tests/components/metrics/test_client.py
@@ -24,7 +24,7 @@
     return StatsdMetrics(Address(*server.getsockname()), "b")
 
 
-def test_counts_are_added_up_and_sent_once(server):
+def test_counts_are_summed_and_sent_once(server):
     metrics = metrics_to(server)
     metrics.count("requests", 2)
     metrics.count("requests")
@@ -39,7 +39,7 @@
     assert metrics.snapshot()["counters"] == {"requests": 3}
 
 
-def test_datagrams_stay_below_their_bound(server):
+def test_datagrams_stay_within_their_limit(server):
     metrics = metrics_to(server)
     for index in range(200):
         metrics.count(f"requests.{index}")
@@ -51,11 +51,11 @@
         received += data.count(b"|c")
 
 
-def test_flush_goes_on_when_the_buffer_is_full_or_nobody_listens(monkeypatch):
-    """The network is stuck and the send buffer of the host is full.
+def test_flush_does_not_block_on_a_full_buffer(monkeypatch):
+    """A flush must not block if the send buffer is full.
 
-    A user would see every request of the host stand still at once. The metrics
-    are flushed, sendto blocks, and with it the only thread of the process.
+    With a stalled network, sendto() would block the only thread of the process and with
+    it all requests of the host.
     """
     metrics = StatsdMetrics(Address("127.0.0.1", 9), "b")
     sends = []
@@ -93,7 +93,7 @@
     assert found["timers"]["t"]["count"] == 5
 
 
-def test_parts_of_a_name_can_not_break_the_protocol():
+def test_name_parts_with_special_characters_are_escaped():
     name = metric_name("requests", "canopy.llm", "a:1|c\nb", "done")
     assert name == "requests.canopy_llm.a_1_c_b.done"
 
@@ -109,7 +109,7 @@
     assert histogram.summary()["max"] == durations[-1]
 
 
-def test_cancelling_the_task_sends_what_is_left(server):
+def test_cancelling_the_task_sends_the_rest(server):
     async def async_main():
         task = await curio.spawn(async_flush_regularly(metrics))
         await curio.sleep(0)
--- a/tests/components/metrics/test_exposition.py
+++ b/tests/components/metrics/test_exposition.py
@@ -1,4 +1,4 @@
-"""The metrics as lines of text."""
+"""Tests of the text exposition format."""
 
 from bitterntiller.components.metrics.client import StatsdMetrics
 from bitterntiller.components.metrics.exposition import render
--- a/tests/daemon/test_process.py
+++ b/tests/daemon/test_process.py
@@ -17,11 +17,11 @@
         return make_dump(runtime)()
 
 
-def test_every_part_of_a_process_describes_itself_without_secrets(tmp_path):
-    """An operator looks into a host that owns a pool.
+def test_state_dump_has_every_component_and_no_secrets(tmp_path):
+    """No section of the state dump may be an error.
 
-    He would find an error in place of the pools: a module of the dispatch part
-    had got the name of the function that describes them, and hidden it.
+    The section of dispatch was one on hosts that own a pool: a module of dispatch had
+    the name of the function that describes the pools and shadowed it.
     """
     listen = {
         key: f"127.0.0.1:{free_port()}" for key in ("caller", "internal", "operator")
