--- a/bitterntiller/components/config/__init__.py
+++ b/bitterntiller/components/config/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration of services, workspaces and tiers: its schema and meaning."""
+"""The configuration of services, workspaces and tiers: schema and data types."""
--- a/bitterntiller/components/config/const.py
+++ b/bitterntiller/components/config/const.py
@@ -1,4 +1,4 @@
-"""Names of the keys of a configuration, and the labels that have a meaning."""
+"""Keys of a configuration document, and labels with a defined meaning."""
 
 CONF_SERVICES = "services"
 CONF_TIERS = "tiers"
--- a/bitterntiller/components/config/errors.py
+++ b/bitterntiller/components/config/errors.py
@@ -1,11 +1,11 @@
-"""The error of a configuration that can't be put in force."""
+"""Errors of configurations."""
 
 from bitterntiller.core.errors import CodedError
 from bitterntiller.core.problems import Problem
 
 
 class ConfigError(CodedError):
-    """Raised for a configuration with problems, each with its key path."""
+    """Raised for an invalid configuration; each problem has its key path."""
 
     code = "config"
 
--- a/bitterntiller/components/config/models.py
+++ b/bitterntiller/components/config/models.py
@@ -1,15 +1,15 @@
-"""The parsed configuration, as all other parts see it.
+"""The parsed configuration.
 
-The JSON document has three mappings, by name, and may have a fourth, labels:
-the values that the labels of upstreams can have, which only the check of
-selectors uses:
+The JSON document has three mappings by name, and optionally a fourth one, labels. It
+declares the values that labels of upstreams can have, and only the check of selectors
+uses it:
 
     {
       "services": {
         "canopy-llm": {
           "kind": "engine",                 // or "plain"
           "paths": ["/v1/chat/completions"],  // path prefixes of callers
-          "idempotent_paths": [],           // POSTs here may be repeated
+          "idempotent_paths": [],           // POSTs here may be retried
           "selector": {"match": {"model": ["canopy"]}, "exclude": {}},
           "labels": {"order_seconds": "120"}
         }
@@ -20,7 +20,7 @@
       "workspaces": {
         "foresters": {
           "token_sha256": ["<64 hex digits>"],
-          "tier": "gold",                   // the highest it may ask for
+          "tier": "gold",                   // the highest it may request
           "services": ["canopy-llm"],
           "selector": {},
           "labels": {"share": "2", "concurrency": "64", "rate": "50"}
@@ -35,17 +35,17 @@
 
 
 class Selector(NamedTuple):
-    """Chooses upstreams by labels.
+    """Selects upstreams by their labels.
 
-    An upstream is chosen when for each label in match it has one of the values,
-    and for no label in exclude any of the values.
+    An upstream matches if it has one of the values of each label in match, and none of
+    the values of any label in exclude.
     """
 
     match: dict[str, tuple[str, ...]] = {}
     exclude: dict[str, tuple[str, ...]] = {}
 
     def matches(self, labels: dict[str, str]) -> bool:
-        """Tell whether an upstream with these labels is chosen."""
+        """Return whether an upstream with these labels matches."""
         if any(labels.get(key) not in values for key, values in self.match.items()):
             return False
         return all(
@@ -54,7 +54,7 @@
 
 
 class RouteKind(StrEnum):
-    """What may be sent again, and how a route answers."""
+    """Whether requests of a route may be retried, and how it responds."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -63,7 +63,7 @@
 
 
 class Share(NamedTuple):
-    """The part of a route's requests that goes to a service, by weight."""
+    """The share of a route's requests that goes to a service, by weight."""
 
     service: str
     weight: float
@@ -72,12 +72,12 @@
 class Route(NamedTuple):
     """The requests of one host name below one path prefix.
 
-    timeout is the longest time a caller is kept waiting, objective the time to
-    the first output that is still good, pause the longest good time between two
-    outputs of a stream (0: none is set); all in seconds. After patience seconds without
-    a first output a caller gives up. max_attempts is on how
-    many upstreams one request may run. The rank of a workspace goes before the
-    rank of the route.
+    timeout is the maximum time a caller waits, objective the target for the time to the
+    first output, and target_output_interval the target for the time between two
+    outputs of a stream (0 if not set), all in seconds. A caller is assumed to give up
+    after patience seconds without a first output. max_attempts is the number of
+    upstreams on which one request may run. The rank of a workspace takes precedence
+    over the rank of the route.
     """
 
     name: str
@@ -95,20 +95,20 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         return self.kind in (RouteKind.IDEMPOTENT, RouteKind.RESUMABLE)
 
     @property
     def streams(self) -> bool:
-        """Tell whether the answer is a stream of events."""
+        """Return whether the response is a stream of events."""
         return self.kind in (RouteKind.STREAM, RouteKind.RESUMABLE)
 
 
 class Quota(NamedTuple):
-    """What a workspace may use over all hosts, in its unit and in it a second.
+    """The quota of a workspace over all hosts.
 
-    The unit is a request, or a token where counts_tokens; default_amount is what a
-    request that states no tokens counts for.
+    rate is in units per second and burst in units. The unit is a request, or a token
+    with counts_tokens; default_amount is what a request counts that states no tokens.
     """
 
     rate: float
@@ -118,7 +118,7 @@
 
 
 class CallerLimits(NamedTuple):
-    """What a caller may send, in bytes, and how long it may take, in seconds."""
+    """Limits on what a caller sends, in bytes, and on how long it takes, in seconds."""
 
     head_bytes: int
     body_bytes: int
@@ -129,8 +129,8 @@
 class Service(NamedTuple):
     """A service: the pool of upstreams that serve some paths.
 
-    max_connections bounds the connections to one upstream over all hosts, 0 for
-    no bound. kv_tokens is an engine's memory where the configuration tells it.
+    max_connections limits the connections to one upstream over all hosts; 0 means no
+    limit. kv_tokens is the memory of an engine, if the configuration contains it.
     """
 
     name: str
@@ -145,7 +145,7 @@
 
 
 class Tier(NamedTuple):
-    """A tier of requests; rank 0 is the most important."""
+    """A tier of requests; rank 0 has the highest priority."""
 
     name: str
     rank: int
@@ -154,7 +154,7 @@
 
 
 class Workspace(NamedTuple):
-    """A customer's workspace, known by the SHA-256 of its bearer tokens."""
+    """A customer's workspace, identified by the SHA-256 of its bearer tokens."""
 
     name: str
     token_sha256: tuple[str, ...]
@@ -169,9 +169,9 @@
 class Config(NamedTuple):
     """One version of the configuration.
 
-    With routes, these tell the service of a request and not the paths of the
-    services; routes_by_host holds them by host name and then by path prefix. A
-    deployment without workspaces takes requests without a token.
+    If there are routes, they determine the service of a request instead of the paths of
+    the services; routes_by_host holds them by host name and path prefix. A deployment
+    without workspaces accepts requests without a token.
     """
 
     version: int
--- a/bitterntiller/components/config/parse.py
+++ b/bitterntiller/components/config/parse.py
@@ -1,4 +1,4 @@
-"""From the JSON document of a configuration to the parsed Config."""
+"""Parses the JSON document of a configuration into a Config."""
 
 from collections.abc import Iterator, Mapping
 from typing import Any
@@ -18,7 +18,7 @@
 
 
 def parse_config(document: Mapping[str, Any], version: int) -> Config:
-    """Check a document and return its Config.
+    """Validate a document and return its Config.
 
     An empty document is a configuration without services. Raise ConfigError
     with all problems found. The result depends on the arguments alone.
@@ -33,14 +33,14 @@
 
 
 def _find_cross_problems(checked: dict[str, Any]) -> Iterator[Problem]:
-    """Yield the problems that show only when several keys are seen together."""
-    yield from _path_problems(checked[const.CONF_SERVICES])
-    yield from _rank_problems(checked[const.CONF_TIERS])
-    yield from _reference_problems(checked)
-    yield from _token_problems(checked[const.CONF_WORKSPACES])
+    """Yield the problems that involve several keys."""
+    yield from _find_path_problems(checked[const.CONF_SERVICES])
+    yield from _find_rank_problems(checked[const.CONF_TIERS])
+    yield from _find_reference_problems(checked)
+    yield from _find_token_problems(checked[const.CONF_WORKSPACES])
 
 
-def _path_problems(services: dict[str, Any]) -> Iterator[Problem]:
+def _find_path_problems(services: dict[str, Any]) -> Iterator[Problem]:
     services_by_path: dict[str, str] = {}
     for service_name, service in services.items():
         for index, prefix in enumerate(service[const.CONF_PATHS]):
@@ -56,7 +56,7 @@
             yield Problem(path, f"{prefix} is under no path of this service")
 
 
-def _rank_problems(tiers: dict[str, Any]) -> Iterator[Problem]:
+def _find_rank_problems(tiers: dict[str, Any]) -> Iterator[Problem]:
     tiers_by_rank: dict[int, str] = {}
     for tier_name, tier in tiers.items():
         other = tiers_by_rank.setdefault(tier[const.CONF_RANK], tier_name)
@@ -65,7 +65,7 @@
             yield Problem(path, f"is the rank of tier {other} too")
 
 
-def _reference_problems(checked: dict[str, Any]) -> Iterator[Problem]:
+def _find_reference_problems(checked: dict[str, Any]) -> Iterator[Problem]:
     for workspace_name, workspace in checked[const.CONF_WORKSPACES].items():
         path = (const.CONF_WORKSPACES, workspace_name)
         tier = workspace[const.CONF_TIER]
@@ -77,7 +77,7 @@
                 yield Problem(key, f"there is no service {service}")
 
 
-def _token_problems(workspaces: dict[str, Any]) -> Iterator[Problem]:
+def _find_token_problems(workspaces: dict[str, Any]) -> Iterator[Problem]:
     workspaces_by_token: dict[str, str] = {}
     for workspace_name, workspace in workspaces.items():
         for index, token in enumerate(workspace[const.CONF_TOKEN_SHA256]):
--- a/bitterntiller/components/config/schema.py
+++ b/bitterntiller/components/config/schema.py
@@ -17,7 +17,7 @@
 def _label_value(value: Any) -> str:
     if not isinstance(value, str):
         raise vol.Invalid("expected a string, as all values of labels are")
-    # Half of a surrogate pair can't be encoded in the messages between hosts.
+    # A lone surrogate can't be encoded in the messages between hosts.
     if any("\ud800" <= character <= "\udfff" for character in value):
         raise vol.Invalid("holds half of a surrogate pair")
     return value
@@ -106,7 +106,7 @@
 
 
 def _by_name(check: dict[Any, Any]) -> Callable[[Any], dict[str, Any]]:
-    """Return a check of a mapping from names to values of one schema."""
+    """Return a validator of mappings from names to values of one schema."""
     schema = vol.Schema(check)
 
     def check_all(value: Any) -> dict[str, Any]:
--- a/bitterntiller/components/config/selectors.py
+++ b/bitterntiller/components/config/selectors.py
@@ -1,4 +1,4 @@
-"""Checks selectors against the labels that upstreams have, or may have."""
+"""Checks selectors against the declared labels and the labels of upstreams."""
 
 from collections.abc import Iterator, Mapping
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class LabelledUpstream(NamedTuple):
-    """What the check needs to know of an upstream."""
+    """An upstream, as far as selectors depend on it."""
 
     name: str
     service: str
@@ -17,7 +17,7 @@
 
 
 class _LocatedSelector(NamedTuple):
-    """Where a selector stands, and which services' upstreams it chooses from."""
+    """A selector with its key path and the services whose upstreams it selects from."""
 
     path: KeyPath
     selector: Selector
@@ -25,10 +25,10 @@
 
 
 def find_vocabulary_problems(config: Config) -> Iterator[Problem]:
-    """Yield the labels and values that the configuration's labels do not have.
+    """Yield problems for labels and values that the configuration does not declare.
 
-    A configuration without labels at its top level has no vocabulary to check
-    against, and no such problems.
+    A configuration without labels at its top level declares no vocabulary, so it has
+    no such problems.
     """
     if not config.values_by_label:
         return
@@ -47,7 +47,7 @@
 def find_upstream_problems(
     config: Config, upstreams: list[LabelledUpstream]
 ) -> Iterator[Problem]:
-    """Yield labels that no upstream has, and selectors that choose none."""
+    """Yield problems for labels that no upstream has and selectors that match none."""
     for located in _located_selectors(config):
         candidates = [item for item in upstreams if item.service in located.services]
         known = {label for item in candidates for label in item.labels}
@@ -84,7 +84,7 @@
     name: str,
     upstreams_by_service: dict[str, list[LabelledUpstream]],
 ) -> Iterator[Problem]:
-    """Check a workspace alone, then together with the selector of its tier."""
+    """Check a workspace's selector alone, then combined with that of its tier."""
     workspace = config.workspaces_by_name[name]
     tier = config.tiers_by_name[workspace.tier]
     path = (const.CONF_WORKSPACES, name, const.CONF_SELECTOR)
@@ -128,7 +128,7 @@
 def _labels_used(
     located: _LocatedSelector,
 ) -> Iterator[tuple[KeyPath, str, tuple[str, ...]]]:
-    """Yield each label of a selector, with its path and values."""
+    """Yield the path, name and values of each label in a selector."""
     for label, values in located.selector.match.items():
         yield (*located.path, const.CONF_MATCH, label), label, values
     for label, values in located.selector.exclude.items():
--- a/bitterntiller/components/operator/__init__.py
+++ b/bitterntiller/components/operator/__init__.py
@@ -1,4 +1,4 @@
-"""The operator port: configuration, the dump, and the state of control."""
+"""The operator port: configuration, state dump, control, rollouts and crashes."""
 
 from bitterntiller.components.http.buffered import async_serve_buffered
 from bitterntiller.components.http.exchange import Exchange
--- a/bitterntiller/components/operator/coordinator.py
+++ b/bitterntiller/components/operator/coordinator.py
@@ -1,4 +1,4 @@
-"""Answers the requests of operators."""
+"""Handles the requests of operators."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 class OperatorCoordinator:
-    """A http RequestHandler; key is the operator key, dump makes the dump."""
+    """An http RequestHandler; key is the operator key, dump returns the state dump."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         }
 
     async def async_handle(self, request: HttpRequest) -> HttpResponse:
-        """Return the answer to a request; the key comes before all else."""
+        """Return the response to a request; the key is checked before anything else."""
         if not requests.has_key(request, self._key):
             self._metrics.count(const.METRIC_WRONG_KEY)
             text = "the operator key is missing or wrong"
--- a/bitterntiller/components/operator/errors.py
+++ b/bitterntiller/components/operator/errors.py
@@ -4,7 +4,7 @@
 
 
 class RefusedRequestError(CodedError):
-    """Raised for a request that is not understood; status is the HTTP status."""
+    """Raised for an invalid request; status is the HTTP status."""
 
     code = "bad-request"
 
--- a/bitterntiller/components/operator/models.py
+++ b/bitterntiller/components/operator/models.py
@@ -1,10 +1,10 @@
-"""What comes in at the operator port, and what it asks of other parts."""
+"""Parsed requests to the operator port."""
 
 from typing import NamedTuple
 
 
 class ChangeRequest(NamedTuple):
-    """A change of the configuration; config is the JSON document as it came."""
+    """A change of the configuration; config is the JSON document as received."""
 
     change_id: str
     base_version: int
@@ -12,10 +12,10 @@
 
 
 class RepairRequest(NamedTuple):
-    """An exchange of a control replica; empty strings for what is not wanted.
+    """The replacement of a control replica; empty strings for steps not requested.
 
-    remove is the identity of a replica; add is the name of a host and address
-    its internal address.
+    remove is the identity of a replica; add is the name of a host and address its
+    internal address.
     """
 
     remove: str
@@ -24,7 +24,7 @@
 
 
 class RolloutRequest(NamedTuple):
-    """The order to move a service to upstreams of another version within a time."""
+    """An order to move a service to another version within a time limit."""
 
     pool: str
     to: str
--- a/bitterntiller/components/operator/requests.py
+++ b/bitterntiller/components/operator/requests.py
@@ -1,4 +1,4 @@
-"""Reads what an operator asks for out of HTTP requests."""
+"""Parses HTTP requests of operators."""
 
 import hmac
 import json
@@ -23,21 +23,21 @@
 
 
 def has_key(request: HttpRequest, key: bytes) -> bool:
-    """Tell whether a request carries the operator key."""
+    """Return whether a request has the operator key."""
     given = header(request.headers, const.HEADER_AUTHORIZATION) or ""
     scheme, _, token = given.partition(" ")
     if scheme.lower() != "bearer":
         return False
-    # A comparison that ends at the first wrong byte would tell a caller, by
-    # its duration, how much of a guessed key is right.
+    # Compare in constant time: otherwise the duration would reveal how many leading
+    # bytes of a guessed key are right.
     return hmac.compare_digest(token.strip().encode("latin-1"), key)
 
 
 def read_change(request: HttpRequest) -> ChangeRequest:
     """Return the change in a PUT; raise RefusedRequestError.
 
-    Without Idempotency-Key the change gets an id of its own: it can't be
-    resent then, but it still is made against one version only.
+    Without Idempotency-Key the change gets a random id: it can't be retried safely, but
+    it still applies to one base version only.
     """
     tag = header(request.headers, const.HEADER_IF_MATCH)
     if tag is None:
@@ -88,7 +88,7 @@
 
 
 def read_repair(request: HttpRequest) -> RepairRequest:
-    """Return the exchange in a POST; raise RefusedRequestError."""
+    """Return the replacement of a replica in a POST; raise RefusedRequestError."""
     try:
         value = json.loads(request.body)
     except (ValueError, RecursionError) as error:
--- a/bitterntiller/components/operator/responses.py
+++ b/bitterntiller/components/operator/responses.py
@@ -1,4 +1,4 @@
-"""Puts the replies of control into HTTP responses."""
+"""Converts replies of control into HTTP responses."""
 
 import json
 import re
@@ -32,19 +32,19 @@
 def json_response(
     status: int, value: Mapping[str, Any], headers: Headers | None = None
 ) -> HttpResponse:
-    """Return a response with a JSON body; what JSON lacks is shown as a string."""
+    """Return a response with a JSON body; values unknown to JSON become strings."""
     body = json.dumps(value, default=str).encode() + b"\n"
     content_type = (const.HEADER_CONTENT_TYPE, b"application/json")
     return HttpResponse(status, [content_type, *(headers or [])], body)
 
 
 def problem_response(status: int, name: str, text: str) -> HttpResponse:
-    """Return a response that says in text why nothing was done."""
+    """Return a response whose text is the reason why nothing was done."""
     return json_response(status, {"status": name, "text": text})
 
 
 def unavailable_response() -> HttpResponse:
-    """Return the response to a reading that no leader answered."""
+    """Return the response to a read without a reply from a leader."""
     value = {
         "status": const.STATUS_UNAVAILABLE,
         "text": "no leader of control answered",
@@ -53,7 +53,7 @@
 
 
 def unknown_outcome_response(advice: str) -> HttpResponse:
-    """Return the response to a change of which no outcome was heard."""
+    """Return the response to a change whose outcome is unknown."""
     value = {"status": const.STATUS_UNKNOWN, "text": _UNKNOWN_TEXT + advice}
     return json_response(503, value, _retry_after())
 
@@ -87,7 +87,7 @@
 
 
 def split_problems(text: str) -> list[dict[str, str]]:
-    """Return the key and the text of each problem in control's text."""
+    """Return the key and text of each problem in the text of control's reply."""
     problems = []
     for line in _ERROR_CODE.sub("", text).splitlines():
         found = _KEY_AND_TEXT.fullmatch(line)
@@ -131,7 +131,7 @@
 def repair_response(reply: Any) -> HttpResponse:
     """Return the response for a messages.RepairReply, or None.
 
-    The order names the same exchange each time, so that it can be repeated.
+    The request is idempotent: repeating it refers to the same replacement.
     """
     status = None if reply is None else _HTTP_STATUS_BY_REPAIR.get(reply.status)
     if status is None:
--- a/bitterntiller/components/settings/__init__.py
+++ b/bitterntiller/components/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The settings file of one process: reading, checking, defaults."""
+"""The settings file of one process: loading, validation and defaults."""
--- a/bitterntiller/components/settings/const.py
+++ b/bitterntiller/components/settings/const.py
@@ -1,4 +1,4 @@
-"""Names of the keys of a settings file, and its fixed words."""
+"""Keys of a settings file, and its fixed and default values."""
 
 CONF_HOST = "host"
 CONF_ZONE = "zone"
--- a/bitterntiller/components/settings/errors.py
+++ b/bitterntiller/components/settings/errors.py
@@ -1,11 +1,11 @@
-"""The error of a settings file that can't be used."""
+"""Errors of settings files."""
 
 from bitterntiller.core.errors import CodedError
 from bitterntiller.core.problems import LocatedProblem
 
 
 class SettingsError(CodedError):
-    """Raised for a settings file with problems; each names file, line and key."""
+    """Raised for an invalid settings file; each problem has its file, line and key."""
 
     code = "settings"
 
--- a/bitterntiller/components/settings/load.py
+++ b/bitterntiller/components/settings/load.py
@@ -1,4 +1,4 @@
-"""Reading a settings file into Settings."""
+"""Loads a settings file into Settings."""
 
 from pathlib import Path
 from typing import Any
@@ -20,10 +20,10 @@
 
 
 def load_settings(path: Path) -> Settings:
-    """Read and check a settings file.
+    """Load and validate a settings file.
 
-    Relative paths in it are relative to its own folder. Raise SettingsError
-    with all problems found, each with file, line and key.
+    Relative paths in it are relative to its own folder. Raise SettingsError with all
+    problems found, each with file, line and key.
     """
     try:
         document = read_document(path)
@@ -33,7 +33,7 @@
 
 
 def build_settings(document: Document, folder: Path) -> Settings:
-    """Check a document and build the Settings; raise SettingsError."""
+    """Validate a document and build the Settings; raise SettingsError."""
     checked, problems = find_problems(SCHEMA, document.value)
     if not problems:
         problems = find_cross_problems(checked)
@@ -58,9 +58,9 @@
             continue
         if not content:
             problems.append(Problem(path, f"{file}: the key file is empty"))
-        # Keys travel in an Authorization header, which can hold nothing else.
+        # Keys are sent in an Authorization header, which allows nothing else.
         elif not all(0x21 <= byte <= 0x7E for byte in content):
-            text = f"{file}: a key is one line of ASCII without spaces"
+            text = f"{file}: a key is one line of visible ASCII without spaces"
             problems.append(Problem(path, text))
         keys[key] = content
     return keys, problems
--- a/bitterntiller/components/settings/models.py
+++ b/bitterntiller/components/settings/models.py
@@ -1,11 +1,11 @@
-"""The checked settings of one process, as all other parts see them."""
+"""The validated settings of one process."""
 
 from pathlib import Path
 from typing import NamedTuple
 
 
 class Address(NamedTuple):
-    """An IP number and a TCP or UDP port."""
+    """An IP address and a TCP or UDP port."""
 
     ip: str
     port: int
@@ -15,10 +15,10 @@
 
 
 class Listen(NamedTuple):
-    """Where the process listens, and where peers reach its internal port.
+    """Addresses on which the process listens.
 
-    advertised is None when peers reach it where it listens. metrics is None when they
-    are not served.
+    advertised is the address at which peers reach the internal port, None if it is the
+    one on which the process listens. metrics is None if metrics are not served.
     """
 
     caller: Address
@@ -29,12 +29,12 @@
 
     @property
     def peer_address(self) -> Address:
-        """Return the internal address that this process's peers call."""
+        """Return the address at which peers reach the internal port."""
         return self.advertised or self.internal
 
 
 class Keys(NamedTuple):
-    """The keys read from the files that the settings name; never dumped."""
+    """Keys read from the files named in the settings; never part of a dump."""
 
     operator: bytes
     internal: bytes
@@ -42,7 +42,7 @@
 
 
 class Limits(NamedTuple):
-    """Bounds on what callers can make the host hold; bytes and counts."""
+    """Limits on the resources that callers can use on a host: bytes and counts."""
 
     head_bytes: int = 32 * 1024
     body_bytes: int = 8 * 1024 * 1024
@@ -79,27 +79,27 @@
 
 
 class Bucket(NamedTuple):
-    """A token bucket: it refills at rate a second, up to depth."""
+    """A token bucket that refills with rate per second, up to depth."""
 
     rate: float
     depth: float
 
 
 MAX_DEPTH_FRACTION = 0.25
-"""Part of what a span allows that a workspace may use at one moment, where its burst is
+"""Fraction of a window's limit that a workspace may use at once, if its burst is
 smaller."""
 
 RETRY_OVERDRAFT_FRACTION = 0.02
-"""Part of a quota by which repeats may exceed it: the requests were within it when they
-were let through. Deployments have hosts keep within somewhat less than they allow."""
+"""Fraction by which retries may exceed a quota: their requests were within it when they
+were admitted. Deployments configure hosts with somewhat less than they allow."""
 
 
 class QuotaWindow(NamedTuple):
-    """How the use of quotas is counted over time; the deployment tells.
+    """The time window over which quotas are enforced, set by the deployment.
 
-    In any span of seconds a workspace may use factor times what its rate and burst give
-    for it, and besides in addition. Counts of several hosts are some tenths of a second
-    old, so a deployment has hosts keep within what it really allows.
+    In any window of this many seconds a workspace may use factor times what its rate
+    and burst allow, plus besides. Counts from other hosts are some tenths of a second
+    old, so a deployment configures hosts with less than it really allows.
     """
 
     seconds: float = 1.0
@@ -107,32 +107,33 @@
     besides: float = 0.0
 
     def limit(self, rate: float, burst: float) -> float:
-        """Return what may be used in one span, for a quota's rate and burst."""
+        """Return what may be used in one window, for a quota's rate and burst."""
         return (rate * self.seconds + burst) * self.factor + self.besides
 
     def bucket(self, rate: float, burst: float) -> Bucket:
-        """Return the token bucket that stays within the limit of each span.
+        """Return the token bucket that stays within the limit of each window.
 
-        It refills at the quota's rate, and what the span allows beyond that is its
-        depth; where that is less than the burst, both shrink alike. A span that allows
-        far more than the rate gives is used up evenly: a bucket deeper than DEPTH_PART
-        of it would be emptied once, and after that a part of each span never be used.
+        It refills at the quota's rate, and its depth is what the limit allows beyond
+        that; if that is less than the burst, rate and depth are scaled down alike. If
+        the limit is far above the rate, depth is capped and the rate raised instead: a
+        bucket deeper than MAX_DEPTH_FRACTION of the limit would be emptied once, and
+        after that a part of each window could never be used.
         """
-        most = self.limit(rate, burst)
-        depth = most - rate * self.seconds
+        max_use = self.limit(rate, burst)
+        depth = max_use - rate * self.seconds
         if depth >= burst:
-            depth = min(depth, max(burst, MAX_DEPTH_FRACTION * most))
-            return Bucket((most - depth) / self.seconds, depth)
-        part = most / max(rate * self.seconds + burst, 1e-9)
-        return Bucket(rate * part, burst * part)
+            depth = min(depth, max(burst, MAX_DEPTH_FRACTION * max_use))
+            return Bucket((max_use - depth) / self.seconds, depth)
+        scale = max_use / max(rate * self.seconds + burst, 1e-9)
+        return Bucket(rate * scale, burst * scale)
 
 
 class RolloutBounds(NamedTuple):
-    """What a new version of a service's upstreams may get before it is found good.
+    """Bounds on the requests that a candidate version gets before its verdict.
 
-    fraction of the requests that reach the service since the order, and tolerance
-    besides, over all hosts together. ordered_only tells that a version serves by an
-    order only; otherwise any version serves that no rollout has to do with.
+    It gets at most fraction of the requests that reach the service since the order,
+    plus tolerance, over all hosts together. With ordered_only, a version serves only
+    after an order; otherwise any version serves that is not part of a rollout.
     """
 
     fraction: float = 0.1
@@ -141,13 +142,13 @@
 
 
 class Control(NamedTuple):
-    """Control as one process knows it.
+    """How a process reaches and forms control.
 
     addresses are internal addresses of hosts that have, or may have, a replica.
-    bootstrap names the hosts of the first membership, or their internal addresses;
-    it is used once, when the data folder is empty and the deployment is new.
-    voters is how many voters the leader makes of the hosts that join; 0 leaves
-    that to commands.
+    bootstrap lists the hosts of the initial membership by name or internal address; it
+    is used once, when the data folder is empty and the deployment is new. voters is the
+    number of voters up to which the leader promotes joining hosts; with 0, only
+    commands change the voters.
     """
 
     addresses: tuple[Address, ...]
@@ -157,7 +158,7 @@
 
 
 class Settings(NamedTuple):
-    """Everything a process is told at its start."""
+    """All settings of a process."""
 
     host: str
     zone: str
--- a/bitterntiller/components/settings/schema.py
+++ b/bitterntiller/components/settings/schema.py
@@ -1,4 +1,4 @@
-"""The schema of a settings file, and the checks that span several keys."""
+"""The schema of a settings file, and checks that involve several keys."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 
 
 def address(value: Any) -> Address:
-    """Return the Address of "IP:port", or refuse it."""
+    """Validate "IP:port" and return its Address."""
     return Address(*ip_and_port(value))
 
 
@@ -33,11 +33,11 @@
     if not isinstance(value, list) or not value:
         raise vol.Invalid("expected a list of at least one role")
     if len(set(map(str, value))) != len(value):
-        raise vol.Invalid("names a role twice")
+        raise vol.Invalid("contains a duplicate role")
     return tuple(value)
 
 
-def _limit_checks() -> dict[vol.Optional, Any]:
+def _limit_validators() -> dict[vol.Optional, Any]:
     checks: dict[vol.Optional, Any] = {
         vol.Optional(field): integer(1) for field in Limits._fields
     }
@@ -77,7 +77,7 @@
         },
         vol.Optional(const.CONF_DATA_FOLDER): _path,
         vol.Optional(const.CONF_STATSD): address,
-        vol.Optional(const.CONF_LIMITS, default=dict): _limit_checks(),
+        vol.Optional(const.CONF_LIMITS, default=dict): _limit_validators(),
         vol.Optional(const.CONF_TIMINGS, default=dict): {
             vol.Optional(field): positive for field in Timings._fields
         },
@@ -89,21 +89,21 @@
 
 
 def find_cross_problems(checked: dict[str, Any]) -> list[Problem]:
-    """Return the problems that show only when several keys are seen together."""
+    """Return the problems that involve several keys."""
     return [
-        *_control_problems(checked),
-        *_listen_problems(checked[const.CONF_LISTEN]),
-        *_timing_problems(Timings(**checked[const.CONF_TIMINGS])),
+        *_find_control_problems(checked),
+        *_find_listen_problems(checked[const.CONF_LISTEN]),
+        *_find_timing_problems(Timings(**checked[const.CONF_TIMINGS])),
     ]
 
 
-def _control_problems(checked: dict[str, Any]) -> list[Problem]:
+def _find_control_problems(checked: dict[str, Any]) -> list[Problem]:
     problems = []
     control = checked[const.CONF_CONTROL]
     for key in (const.CONF_ADDRESSES, const.CONF_BOOTSTRAP):
         if len(set(control[key])) != len(control[key]):
             path = (const.CONF_CONTROL, key)
-            problems.append(Problem(path, "names one twice"))
+            problems.append(Problem(path, "contains a duplicate"))
     if const.ROLE_CONTROL not in checked[const.CONF_ROLES]:
         return problems
     if const.CONF_DATA_FOLDER not in checked:
@@ -113,22 +113,22 @@
     own = listen.get(const.CONF_ADVERTISED, listen[const.CONF_INTERNAL])
     if own not in control[const.CONF_ADDRESSES]:
         path = (const.CONF_CONTROL, const.CONF_ADDRESSES)
-        text = f"lacks this host's own internal address {own}"
+        text = f"must contain this host's internal address {own}"
         problems.append(Problem(path, text))
     return problems
 
 
-def _listen_problems(listen: dict[str, Address]) -> list[Problem]:
+def _find_listen_problems(listen: dict[str, Address]) -> list[Problem]:
     problems = []
     keys_by_port: dict[int, str] = {}
     for key, found in listen.items():
         other = keys_by_port.setdefault(found.port, key)
         shared = {found.ip, listen[other].ip}
         if other != key and (len(shared) == 1 or const.UNSPECIFIED_IP in shared):
-            text = f"has the address of {const.CONF_LISTEN}.{other}"
+            text = f"is the same address as {const.CONF_LISTEN}.{other}"
             problems.append(Problem((const.CONF_LISTEN, key), text))
-    # Other hosts are told the internal address and call it; 0.0.0.0 would lead
-    # each of them to itself.
+    # Other hosts connect to this address; with 0.0.0.0 each of them would connect to
+    # itself.
     peer_address = listen.get(const.CONF_ADVERTISED, listen[const.CONF_INTERNAL])
     if peer_address.ip == const.UNSPECIFIED_IP:
         path = (const.CONF_LISTEN, const.CONF_INTERNAL)
@@ -136,13 +136,13 @@
     return problems
 
 
-def _timing_problems(timings: Timings) -> list[Problem]:
+def _find_timing_problems(timings: Timings) -> list[Problem]:
     """Check the relations between timings.
 
-    A lease that lives less than two heartbeats runs out when one is lost. A pool
-    whose ownership outlives no node lease could be given away while entry hosts
-    still obey the old owner. Followers that wait no longer than the leader's
-    heartbeats take, or all equally long, hold one election after the other.
+    A lease shorter than two heartbeats expires when one is lost. If an owner's lease
+    were not longer than a node's lease, its pool could be reassigned while entry hosts
+    still follow the old owner. Followers whose election timeout is not longer than the
+    leader's heartbeats take, or equal on all, start one election after another.
     """
 
     def path(field: str) -> KeyPath:
--- a/bitterntiller/components/upstreams/__init__.py
+++ b/bitterntiller/components/upstreams/__init__.py
@@ -1,4 +1,4 @@
-"""Announcements of upstreams: set-up."""
+"""Announcements of upstreams over HTTP."""
 
 from bitterntiller.components.upstreams.coordinator import UpstreamCoordinator
 from bitterntiller.core.interfaces import ConfigView, DirectoryView
@@ -8,5 +8,5 @@
 def setup(
     runtime: Runtime, config: ConfigView, directory: DirectoryView
 ) -> UpstreamCoordinator:
-    """Return the part that answers announcements; it holds nothing to unload."""
+    """Return the handler of announcements; it has nothing to unload."""
     return UpstreamCoordinator(runtime, config, directory)
--- a/bitterntiller/components/upstreams/coordinator.py
+++ b/bitterntiller/components/upstreams/coordinator.py
@@ -1,4 +1,4 @@
-"""Takes announcements of upstreams and passes them to the owners of their pools."""
+"""Receives announcements of upstreams and forwards them to pool owners."""
 
 import hmac
 import json
@@ -23,7 +23,7 @@
 
 
 class UpstreamCoordinator:
-    """Answers POST /v1/upstreams/announce on any entry host."""
+    """Handles POST /v1/upstreams/announce on any entry host."""
 
     def __init__(
         self, runtime: Runtime, config: ConfigView, directory: DirectoryView
@@ -36,7 +36,7 @@
         self._directory = directory
 
     async def async_handle(self, request: HttpRequest) -> HttpResponse:
-        """Return the answer to an announcement."""
+        """Return the response to an announcement."""
         if request.method != "POST":
             return _json_response(405, {"error": "use POST"})
         if not self._has_valid_key(request.headers):
--- a/bitterntiller/components/upstreams/errors.py
+++ b/bitterntiller/components/upstreams/errors.py
@@ -4,6 +4,6 @@
 
 
 class AnnouncementError(CodedError):
-    """Raised for an announcement that can't be read."""
+    """Raised for an invalid announcement."""
 
     code = "bad-announcement"
--- a/bitterntiller/components/upstreams/schema.py
+++ b/bitterntiller/components/upstreams/schema.py
@@ -1,4 +1,4 @@
-"""The schema of an announcement, checked once at the edge."""
+"""The schema of announcements, validated once where they arrive."""
 
 import ipaddress
 import json
@@ -12,7 +12,7 @@
 
 
 def ip_and_port(value: Any) -> str:
-    """Return an address IP:port unchanged; raise vol.Invalid for another."""
+    """Validate an address IP:port."""
     if not isinstance(value, str):
         raise vol.Invalid("expected IP:port")
     ip, _, port = value.rpartition(":")
@@ -26,14 +26,14 @@
 
 
 def whole_number(value: Any) -> int:
-    """Return an int unchanged; raise vol.Invalid for another, booleans included."""
+    """Validate an integer; booleans are rejected."""
     if isinstance(value, bool) or not isinstance(value, int):
         raise vol.Invalid("expected a whole number")
     return value
 
 
 def text(value: Any) -> str:
-    """Return a string that can be sent on; JSON may hold half of a surrogate pair."""
+    """Validate a string that can be encoded; JSON may contain a lone surrogate."""
     if not isinstance(value, str):
         raise vol.Invalid("expected a string")
     try:
--- a/tests/components/config/builders.py
+++ b/tests/components/config/builders.py
@@ -16,7 +16,7 @@
 
 
 def config_document(**changes: Any) -> dict[str, Any]:
-    """Return a good document of one service, two tiers and one workspace."""
+    """Return a valid document with one service, two tiers and one workspace."""
     value = {
         "services": {"llm": service()},
         "tiers": {
--- a/tests/components/config/test_parse.py
+++ b/tests/components/config/test_parse.py
@@ -19,7 +19,7 @@
     return [join_path(problem.path) for problem in caught.value.problems]
 
 
-def test_config_is_built():
+def test_config_is_parsed():
     selector = {"match": {"model": ["canopy"]}, "exclude": {"zone": ["yeka"]}}
     document = config_document(
         services={
@@ -41,12 +41,12 @@
     assert config.values_by_label == {"zone": ("bole", "yeka")}
 
 
-def test_empty_document_is_a_configuration():
+def test_empty_document_is_valid():
     assert parse_config({}, 0).services_by_name == {}
 
 
 @pytest.mark.parametrize("document", [None, [], 3, {"service": {}}, {"tiers": 3}])
-def test_other_shapes_are_refused(document):
+def test_documents_of_other_types_are_rejected(document):
     assert keys_of_problems(document)
 
 
@@ -114,7 +114,7 @@
     ]
 
 
-def test_all_problems_come_at_once():
+def test_all_problems_are_reported_together():
     document = config_document(
         services={"bad name": service(), "llm": service(kind="x")},
         tiers={"gold": {"rank": -1}},
--- a/tests/components/operator/builders.py
+++ b/tests/components/operator/builders.py
@@ -1,4 +1,4 @@
-"""Builders of requests of operators, and fakes of what answers them."""
+"""Builders of operators' requests, and fakes of the components behind the port."""
 
 from types import SimpleNamespace
 
@@ -10,7 +10,7 @@
 
 
 class FakeControl:
-    """Answers each message with a fixed reply, or raises it; keeps the messages."""
+    """Returns a fixed reply to each message, or raises it; records the messages."""
 
     def __init__(self, reply=None):
         self.reply = reply
@@ -33,7 +33,7 @@
 
 
 class FakeCrashes:
-    """Knows one request with crashes; keeps what was cleared."""
+    """Has crashes of one request; records what was cleared."""
 
     KNOWN = 0xABC
 
--- a/tests/components/operator/test_bad_input.py
+++ b/tests/components/operator/test_bad_input.py
@@ -30,7 +30,7 @@
 
 
 def exchange(address, data):
-    """Send bytes, close that side, and return all that comes back."""
+    """Send bytes, shut down the sending side, and return all received bytes."""
     ip, _, port = address.rpartition(":")
     received = b""
     with socket.create_connection((ip, int(port)), 10) as sock:
@@ -40,7 +40,7 @@
             while part := sock.recv(65536):
                 received += part
         except OSError as error:
-            # The server may have refused and closed before all was sent.
+            # The server may have rejected the input and closed before all was sent.
             if error.errno not in CLOSED_BY_SERVER:
                 raise
     return received
--- a/tests/components/operator/test_coordinator.py
+++ b/tests/components/operator/test_coordinator.py
@@ -60,7 +60,7 @@
         ),
     ],
 )
-def test_change_is_passed_on_and_its_outcome_told(reply, status, value):
+def test_change_is_forwarded_and_its_outcome_returned(reply, status, value):
     port = operator_port(reply)
     request = operator_request(
         "PUT", const.PATH_CONFIG, b"{}", if_match='"6"', idempotency_key="id-1"
@@ -73,11 +73,11 @@
 
 @pytest.mark.parametrize("reply", [None, change_reply("unknown"), change_reply("odd")])
 def test_change_without_known_outcome_is_unknown(reply):
-    """The leader dies after it got a change.
+    """The leader crashes after it received a change, and its reply is lost.
 
-    An operator would be told that the change failed and make it again under a
-    new id, though the next leader finds it committed. The answer is lost, so
-    the outcome is unknown and the advice is to resend with the same id.
+    If the change were reported as failed, an operator would make it again under a new
+    id although the next leader may find it committed. So the response says that the
+    outcome is unknown and advises to resend with the same id.
     """
     request = operator_request("PUT", const.PATH_CONFIG, b"{}", if_match="6")
     response, value = answer(operator_port(reply), request)
@@ -104,7 +104,7 @@
     assert port.control.messages == []
 
 
-def test_config_is_given_with_its_version():
+def test_config_is_returned_with_its_version():
     reply = messages.ConfigReply(status="ok", version=3, config=b'{"tiers":{}}')
     request = operator_request("GET", const.PATH_CONFIG)
     response, value = answer(operator_port(reply), request)
@@ -112,7 +112,7 @@
     assert (const.HEADER_ETAG, b'"3"') in response.headers
 
 
-def test_control_is_shown():
+def test_control_status_is_returned():
     reply = messages.ControlStatusReply(
         status="ok", leader="127.0.0.1:1", document=b'{"log": {"term": 2}}'
     )
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize("path", [const.PATH_CONTROL, const.PATH_CONFIG])
-def test_reading_without_a_leader_is_unavailable(path):
+def test_read_without_a_leader_is_unavailable(path):
     response, value = answer(operator_port(), operator_request("GET", path))
     assert (response.status, value["status"]) == (503, "unavailable")
 
@@ -138,7 +138,7 @@
         (None, 503),
     ],
 )
-def test_repair_is_passed_on(reply, status):
+def test_repair_is_forwarded(reply, status):
     if reply is not None:
         reply = messages.RepairReply(status=reply, text="t", leader="")
     port = operator_port(reply)
@@ -148,7 +148,7 @@
     assert port.control.messages == [messages.Repair(remove="a-1", add="b", address="")]
 
 
-def test_state_is_shown_and_other_routes_refused():
+def test_state_is_returned_and_other_routes_are_rejected():
     port = operator_port()
     assert answer(port, operator_request("GET", "/v1/state"))[1] == {"host": "a"}
     assert answer(port, operator_request("GET", "/v1/none"))[0].status == 404
@@ -163,7 +163,7 @@
     assert port.control.messages == []
 
 
-def test_requests_that_crash_upstreams_are_shown():
+def test_crashes_are_returned():
     port = operator_port()
     response, value = answer(port, operator_request("GET", "/v1/crashes"))
     assert response.status == 200
@@ -188,7 +188,7 @@
         (b'{"fingerprint": "0000000000000001"}', 404),
     ],
 )
-def test_clearing_of_what_is_not_known_is_refused(body, status):
+def test_clearing_an_unknown_request_is_rejected(body, status):
     port = operator_port()
     response, _ = answer(port, operator_request("POST", "/v1/crashes/clear", body))
     assert response.status == status
--- a/tests/components/operator/test_diagnostics.py
+++ b/tests/components/operator/test_diagnostics.py
@@ -6,10 +6,10 @@
 
 
 def test_a_failing_component_does_not_hide_the_others():
-    """An operator asks for the dump because something is wrong.
+    """A component that raises in its diagnostics makes the whole dump fail.
 
-    The component at fault raises while it describes itself. The operator would
-    get no dump at all; instead the error stands in that component's place.
+    Operators need the dump just when something is wrong, so the error is included in
+    place of that component.
     """
     settings = SimpleNamespace(host="a", zone="z", region="r", roles=("entry",))
     metrics = StatsdMetrics(None, "")
--- a/tests/components/settings/builders.py
+++ b/tests/components/settings/builders.py
@@ -6,7 +6,7 @@
 
 
 def settings_value(**changes: Any) -> dict[str, Any]:
-    """Return the value of a good settings file of a host without control."""
+    """Return the value of a valid settings file of a host without control."""
     value = {
         "host": "bole-a",
         "zone": "bole",
--- a/tests/components/settings/test_load.py
+++ b/tests/components/settings/test_load.py
@@ -42,7 +42,7 @@
     assert settings.statsd == Address("1.2.3.4", 5)
 
 
-def test_every_problem_is_named_with_file_line_and_key(tmp_path):
+def test_every_problem_is_reported_with_file_line_and_key(tmp_path):
     path = write_settings(tmp_path, settings_value())
     lines = path.read_text().splitlines()
     text = "\n".join(lines).replace('"bole-a"', "7").replace(":8080", "")
@@ -91,7 +91,7 @@
     assert problems_of(write_settings(tmp_path, value))[0][0] == "control.addresses"
 
 
-def test_listen_addresses_differ_and_internal_can_be_called(tmp_path):
+def test_listen_addresses_differ_and_internal_is_reachable(tmp_path):
     listen = {
         "caller": "0.0.0.0:8080",
         "internal": "0.0.0.0:8081",
--- a/tests/components/upstreams/test_schema.py
+++ b/tests/components/upstreams/test_schema.py
@@ -1,4 +1,4 @@
-"""Tests of announcements with any content."""
+"""Tests of announcements with arbitrary content."""
 
 import json
 
@@ -38,11 +38,11 @@
 
 
 @pytest.mark.parametrize("change", [{"name": "\ud800"}, {"labels": {"zone": "\ud800"}}])
-def test_half_a_character(change):
-    """An upstream's announcement is cut without an answer.
+def test_lone_surrogate_is_rejected(change):
+    """The connection of an announcement is closed without a response.
 
-    Its JSON has half of a surrogate pair. The schema takes it for a string, and
-    it can't be written into the message for the owner.
+    Its JSON contains a lone surrogate, which the schema accepts as a string but which
+    can't be encoded in the message to the owner.
     """
     with pytest.raises(AnnouncementError):
         parse_announcement(json.dumps(GOOD | change).encode())
