--- a/bitterntiller/components/rollouts/state.py
+++ b/bitterntiller/components/rollouts/state.py
@@ -65,18 +65,18 @@
     def old_running(self, now_ms: int) -> int | None:
         """Return the requests on the old version, None if not reported lately."""
         oldest = now_ms - OLD_RUNNING_MAX_AGE * 1000
-        told = [
+        reported = [
             item for item in self.totals_by_owner.values() if item.told_ms >= oldest
         ]
-        return sum(item.old_running for item in told) if told else None
+        return sum(item.old_running for item in reported) if reported else None
 
     def counts_by_cell(self) -> dict[Cell, Counts]:
         """Return the evidence summed over all owners."""
         found: dict[Cell, Counts] = {}
         for counts_by_cell in self.counts_by_owner.values():
             for cell, counts in counts_by_cell.items():
-                known = found.get(cell)
-                found[cell] = counts if known is None else known.plus(counts)
+                total = found.get(cell)
+                found[cell] = counts if total is None else total.plus(counts)
         return found
 
     def record(self, report: Any) -> None:
@@ -171,18 +171,18 @@
         A repeated order gets the reply of the first one: replies can be lost, and the
         same order must not start another rollout.
         """
-        known = self.by_service.get(order.pool)
-        if known is not None and known.to == order.to:
-            recent = time_ms - known.ordered_ms <= DUPLICATE_ORDER_SECONDS * 1000
-            if known.phase is not Phase.REVERTED or recent:
-                return make_reply(STATUS_ACCEPTED, known)
-        if known is not None and known.phase.under_way:
-            text = f"the rollout of {order.pool} to {known.to} is under way"
-            return make_reply(STATUS_CONFLICT, known, text)
+        last = self.by_service.get(order.pool)
+        if last is not None and last.to == order.to:
+            recent = time_ms - last.ordered_ms <= DUPLICATE_ORDER_SECONDS * 1000
+            if last.phase is not Phase.REVERTED or recent:
+                return make_reply(STATUS_ACCEPTED, last)
+        if last is not None and last.phase.under_way:
+            text = f"the rollout of {order.pool} to {last.to} is under way"
+            return make_reply(STATUS_CONFLICT, last, text)
         if self.serving_by_service.get(order.pool) == order.to:
             text = f"{order.pool} is served by version {order.to} already"
-            return make_reply(STATUS_INVALID, known, text)
-        if known is None and len(self.by_service) >= MAX_SERVICES:
+            return make_reply(STATUS_INVALID, last, text)
+        if last is None and len(self.by_service) >= MAX_SERVICES:
             text = f"rollouts of {MAX_SERVICES} services are kept at most"
             return make_reply(STATUS_INVALID, None, text)
         rollout = Rollout(index, order.pool, order.to, time_ms, order.duration_ms)
@@ -192,8 +192,8 @@
 
     def find(self, service: str) -> Any:
         """Return the messages.RolloutReply of a service's last rollout."""
-        known = self.by_service.get(service)
-        return make_reply(STATUS_ABSENT if known is None else STATUS_OK, known)
+        last = self.by_service.get(service)
+        return make_reply(STATUS_ABSENT if last is None else STATUS_OK, last)
 
     def apply_step(self, index: int, step: Any, time_ms: int) -> None:
         """Apply a messages.RolloutStep, unless it is outdated.
--- a/tests/components/rollouts/test_leader.py
+++ b/tests/components/rollouts/test_leader.py
@@ -43,7 +43,7 @@
     return await control.rollouts.async_get_rollout("", messages.GetRollout(pool))
 
 
-async def tell(control, **fields):
+async def send_report(control, **fields):
     return await control.rollouts.async_report("", report(**fields))
 
 
@@ -107,12 +107,12 @@
             ("n4", 6, failed),
         )
     ]
-    told = await tell(control, number=number, reached=200, evidence=evidence)
-    assert told.allowed > 0
+    reply = await send_report(control, number=number, reached=200, evidence=evidence)
+    assert reply.allowed > 0
     clock.advance(completion_time(12.0) + 0.01)
     await control.rollouts.async_evaluate()
     assert (await get(control)).phase == wanted
-    assert (await tell(control, number=number, reached=400)).phase == wanted
+    assert (await send_report(control, number=number, reached=400)).phase == wanted
 
 
 @with_control
@@ -125,7 +125,7 @@
         )
         for n in range(4)
     ]
-    await tell(control, number=number, reached=20, evidence=evidence)
+    await send_report(control, number=number, reached=20, evidence=evidence)
     log.term = 2
     await control.rollouts.async_evaluate()
     assert (await get(control)).phase == "reverted"
@@ -135,7 +135,7 @@
 async def test_owners_get_the_elapsed_time(control, log, clock):
     number = (await start(control)).number
     clock.advance(2.5)
-    assert (await tell(control, number=number)).elapsed_ms == 2500
+    assert (await send_report(control, number=number)).elapsed_ms == 2500
 
 
 @with_control
