--- a/bitterntiller/components/rollouts/const.py
+++ b/bitterntiller/components/rollouts/const.py
@@ -52,8 +52,8 @@
 """Maximum age of an owner's count of the requests that run on the old version."""
 
 CANARY_UPSTREAMS = 4
-"""Number of upstreams of the candidate version that get requests first; the others get
-those for which these have no capacity."""
+"""Number of upstreams on which the candidate version is evaluated; its other upstreams
+get only the requests for which these have no capacity."""
 
 METRIC_ORDERS = "rollouts.orders"
 METRIC_VERDICTS = "rollouts.verdicts"
