--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -20,7 +20,7 @@
 
 TIMEOUT_S = 40.0
 PAUSE_S = (0.3, 1.2)
-FROZEN_S = (0.5, 4.0)
+STOPPED_S = (0.5, 4.0)
 KEYED_ATTEMPTS = 4
 KEYED_PAUSE_S = 0.5
 
@@ -42,33 +42,33 @@
 
     def run(self) -> dict[str, Any]:
         """Send all requests and return the counts."""
-        disturbing = threading.Thread(target=self._inject_faults)
-        disturbing.start()
-        begun = time.perf_counter()
+        fault_thread = threading.Thread(target=self._inject_faults)
+        fault_thread.start()
+        started_at = time.perf_counter()
         try:
             curio.run(async_each, range(self._count), self._workers, self._async_one)
         finally:
-            wall = time.perf_counter() - begun
+            wall = time.perf_counter() - started_at
             self._done.set()
-            disturbing.join()
+            fault_thread.join()
         time.sleep(3.0)
         return self._summarize() | {"run_s": round(wall, 1)}
 
     def _inject_faults(self) -> None:
-        chance = random.Random(self._random.random())
+        rng = random.Random(self._random.random())
         names = [host.name for host in self._hosts if host.name.startswith("c")]
-        while not self._done.wait(chance.uniform(*PAUSE_S)):
-            name = chance.choice(names)
+        while not self._done.wait(rng.uniform(*PAUSE_S)):
+            name = rng.choice(names)
             process = self._deployment.process(name)
-            if chance.random() < 0.5:
+            if rng.random() < 0.5:
                 self._signals["SIGKILL"] += 1
                 process.kill()
-                self._done.wait(chance.uniform(*PAUSE_S))
+                self._done.wait(rng.uniform(*PAUSE_S))
                 process.start()
             else:
                 self._signals["SIGSTOP"] += 1
                 process.signal(signal.SIGSTOP)
-                self._done.wait(chance.uniform(*FROZEN_S))
+                self._done.wait(rng.uniform(*STOPPED_S))
                 process.signal(signal.SIGCONT)
 
     async def _async_one(self, number: int) -> None:
@@ -116,7 +116,7 @@
             for record in self._deployment.records("run")
         )
         found: Counter[str] = Counter()
-        wrong: list[dict[str, Any]] = []
+        violations: list[dict[str, Any]] = []
         for number, (request, results) in self._results.items():
             ran = runs[request.target, digest(request.body)]
             found[f"runs {ran}"] += 1
@@ -124,7 +124,7 @@
                 found[f"heard {describe_result(result)}"] += 1
             for fault in find_faults(request, results, ran):
                 found[f"FAULT {fault}"] += 1
-                wrong.append(
+                violations.append(
                     {
                         "number": number,
                         "fault": fault,
@@ -138,7 +138,7 @@
             "recorded_runs": recorded,
             "signals": dict(self._signals),
             "counts": dict(sorted(found.items())),
-            "faults": wrong[:20],
+            "faults": violations[:20],
         }
 
 
--- a/bench/client.py
+++ b/bench/client.py
@@ -42,29 +42,29 @@
 
 async def async_request(port: int, request: Request, timeout: float) -> Result:
     """Send a request on its own connection and read the response."""
-    begun = time.perf_counter()
-    seen = _PartialResponse()
+    started_at = time.perf_counter()
+    received = _PartialResponse()
     try:
         async with curio.timeout_after(timeout):
             sock = await curio.open_connection("127.0.0.1", port)
             async with sock:
-                await _async_exchange(sock, request, seen)
+                await _async_exchange(sock, request, received)
     except (OSError, h11.ProtocolError, curio.TaskTimeout):
-        seen.cut = True
+        received.cut = True
     now = time.perf_counter()
-    body = b"".join(seen.parts)
+    body = b"".join(received.parts)
     reason = ""
-    if seen.outcome in ("not-run", "unknown") and body.startswith(b"{"):
-        reason = json.loads(body).get("reason", "") if not seen.cut else ""
-    first = (seen.first_at or now) - begun
+    if received.outcome in ("not-run", "unknown") and body.startswith(b"{"):
+        reason = json.loads(body).get("reason", "") if not received.cut else ""
+    first = (received.first_at or now) - started_at
     return Result(
-        seen.sent,
-        seen.status,
-        seen.outcome,
+        received.sent,
+        received.status,
+        received.outcome,
         reason,
         first,
-        now - begun,
-        seen.cut,
+        now - started_at,
+        received.cut,
         body,
     )
 
@@ -81,7 +81,9 @@
         self.parts: list[bytes] = []
 
 
-async def _async_exchange(sock: Any, request: Request, seen: _PartialResponse) -> None:
+async def _async_exchange(
+    sock: Any, request: Request, received: _PartialResponse
+) -> None:
     http = h11.Connection(h11.CLIENT)
     fields = {"Host": "127.0.0.1", "Connection": "close", **request.headers}
     if request.body:
@@ -92,23 +94,23 @@
     data = http.send(head) or b""
     if request.body:
         data += http.send(h11.Data(data=request.body)) or b""
-    seen.sent = True
+    received.sent = True
     await sock.sendall(data + (http.send(h11.EndOfMessage()) or b""))
     while True:
         event = http.next_event()
         if event is h11.NEED_DATA:
             http.receive_data(await sock.recv(READ_BYTES))
         elif isinstance(event, h11.Response):
-            seen.status = event.status_code
+            received.status = event.status_code
             values = dict(event.headers)
-            seen.outcome = values.get(b"x-outcome", b"").decode()
+            received.outcome = values.get(b"x-outcome", b"").decode()
         elif isinstance(event, h11.Data):
-            seen.first_at = seen.first_at or time.perf_counter()
-            seen.parts.append(bytes(event.data))
+            received.first_at = received.first_at or time.perf_counter()
+            received.parts.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
             return
         else:
-            seen.cut = True
+            received.cut = True
             return
 
 
--- a/bench/control.py
+++ b/bench/control.py
@@ -15,7 +15,7 @@
 import curio
 
 from bench.control_fleet import async_measure_heartbeats, measure_sessions
-from bench.control_parts import (
+from bench.control_stubs import (
     make_change,
     make_claim,
     make_command,
@@ -107,11 +107,11 @@
     return state
 
 
-async def async_measure_synced_claims(folder: Path, together: int) -> dict[str, Any]:
+async def async_measure_synced_claims(folder: Path, concurrency: int) -> dict[str, Any]:
     """Commit claims concurrently to the synced log of a single replica."""
     state = ControlState()
     runtime = make_runtime(1, RuntimeClock())
-    runtime.settings = runtime.settings._replace(data_folder=folder / str(together))
+    runtime.settings = runtime.settings._replace(data_folder=folder / str(concurrency))
     log = await replication.async_setup(runtime, state)
     while not log.is_leader():
         await curio.sleep(0.01)
@@ -121,24 +121,24 @@
     )
     await runtime.async_spawn(proposer.async_run())
     latencies: list[float] = []
-    total = 200 * together if together < 100 else 20 * together
+    total = 200 * concurrency if concurrency < 100 else 20 * concurrency
 
     async def claim_some(first: int) -> None:
-        for number in range(first, total, together):
-            began = time.monotonic()
+        for number in range(first, total, concurrency):
+            started_at = time.monotonic()
             reply = await proposer.async_claim(make_claim(number))
-            latencies.append(time.monotonic() - began)
+            latencies.append(time.monotonic() - started_at)
             assert reply.status == "taken"
 
-    began = time.monotonic()
+    started_at = time.monotonic()
     async with curio.TaskGroup() as group:
-        for first in range(together):
+        for first in range(concurrency):
             await group.spawn(claim_some, first)
-    seconds = time.monotonic() - began
+    seconds = time.monotonic() - started_at
     await runtime.stack.aclose()
     latencies.sort()
     return {
-        "together": together,
+        "together": concurrency,
         "claims": total,
         "claims_a_second": round(total / seconds),
         "p50_ms": round(latencies[len(latencies) // 2] * 1000, 2),
@@ -150,8 +150,8 @@
     """Print all figures."""
     with tempfile.TemporaryDirectory(dir=sys.argv[1] if sys.argv[1:] else None) as name:
         synced = [
-            curio.run(async_measure_synced_claims, Path(name), together)
-            for together in (1, 16, 256)
+            curio.run(async_measure_synced_claims, Path(name), concurrency)
+            for concurrency in (1, 16, 256)
         ]
     figures = {
         "changes": [measure_changes(workspaces) for workspaces in WORKSPACES],
--- a/bench/control_cost.py
+++ b/bench/control_cost.py
@@ -50,13 +50,13 @@
         return sizes | {"idle": idle, "under_changes": changed}
 
     def _measure(
-        self, deployment: ControlDeployment, groups: dict[str, list[str]], act: Any
+        self, deployment: ControlDeployment, groups: dict[str, list[str]], action: Any
     ) -> dict[str, Any]:
         names = [name for group in groups.values() for name in group]
         before = {name: self._read(deployment, name) for name in names}
-        begun = time.monotonic()
-        changes = act()
-        seconds = time.monotonic() - begun
+        started_at = time.monotonic()
+        changes = action()
+        seconds = time.monotonic() - started_at
         after = {name: self._read(deployment, name) for name in names}
         found: dict[str, Any] = {"seconds": round(seconds, 1), "changes": changes}
         for group, members in groups.items():
@@ -89,9 +89,9 @@
     async def _async_change(self, deployment: ControlDeployment) -> int:
         client = deployment.make_client()
         version = deployment.control()["control"]["state"]["config_version"]
-        begun = time.monotonic()
+        started_at = time.monotonic()
         count = 0
-        while (now := time.monotonic()) - begun < self.seconds:
+        while (now := time.monotonic()) - started_at < self.seconds:
             reply = await client.async_call_leader(
                 make_change(version, count, self.workspaces), 5.0
             )
@@ -123,16 +123,16 @@
 
     def _measure(self, deployment: ControlDeployment) -> dict[str, Any]:
         leader = deployment.leader()
-        one = next(name for name in REPLICAS if name != leader)
-        folder = deployment.folder / f"data-{one}" / "replication"
+        restarted = next(name for name in REPLICAS if name != leader)
+        folder = deployment.folder / f"data-{restarted}" / "replication"
         size = sum(f.stat().st_size for f in folder.iterdir() if f.is_file())
         claims = deployment.control()["control"]["state"]["claims"]
         index = deployment.control()["control"]["log"]["commit_index"]
-        deployment.process(one).kill()
+        deployment.process(restarted).kill()
         wait_for(
             "the loss is seen", lambda: deployment.failure_tolerance([leader]) == 0
         )
-        deployment.start_host(one)
+        deployment.start_host(restarted)
         follower = wait_for(
             "a follower", lambda: deployment.failure_tolerance([leader]) == 1
         )
@@ -145,15 +145,15 @@
         )
         wait_for("redundancy", lambda: deployment.failure_tolerance() == 1)
         leader = deployment.leader()
-        one = next(name for name in REPLICAS if name != leader)
-        deployment.process(one).kill()
+        restarted = next(name for name in REPLICAS if name != leader)
+        deployment.process(restarted).kill()
         wait_for(
             "the loss is seen", lambda: deployment.failure_tolerance([leader]) == 0
         )
-        (deployment.folder / f"data-{one}").rename(
-            deployment.folder / f"lost-{one}-{uuid.uuid4().hex}"
+        (deployment.folder / f"data-{restarted}").rename(
+            deployment.folder / f"lost-{restarted}-{uuid.uuid4().hex}"
         )
-        deployment.start_host(one)
+        deployment.start_host(restarted)
         repair = wait_for(
             "the repair",
             lambda: deployment.failure_tolerance([leader]) == 1,
--- a/bench/control_fleet.py
+++ b/bench/control_fleet.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from bench.control_parts import (
+from bench.control_stubs import (
     LocalLog,
     make_change,
     make_document,
@@ -70,11 +70,11 @@
             reply = await self.leader.async_heartbeat(heartbeat.host, heartbeat)
             replies.append(encode(reply))
 
-        began = time.process_time()
+        started_at = time.process_time()
         async with curio.TaskGroup() as group:
             for data in heartbeats:
                 await group.spawn(handle_heartbeat, data)
-        self.leader_seconds += time.process_time() - began
+        self.leader_seconds += time.process_time() - started_at
         self.bytes_up += sum(map(len, heartbeats))
         self.bytes_down += sum(map(len, replies))
         now = self.clock.now()
@@ -87,9 +87,9 @@
         self.clock.advance(0.5)
 
     def _time_nodes(self, call: Callable[[], Any]) -> Any:
-        began = time.process_time()
+        started_at = time.process_time()
         result = call()
-        self.node_seconds += time.process_time() - began
+        self.node_seconds += time.process_time() - started_at
         return result
 
     async def async_measure_rounds(self, rounds: int) -> dict[str, float]:
--- a/bench/control_setup.py
+++ b/bench/control_setup.py
@@ -114,13 +114,15 @@
 
     def make_client(self) -> ControlClient:
         """Return a client of the internal ports, for use with curio."""
-        told = [f"127.0.0.1:{self.hosts_by_name[n].advertised_port}" for n in REPLICAS]
+        addresses = [
+            f"127.0.0.1:{self.hosts_by_name[n].advertised_port}" for n in REPLICAS
+        ]
         own = Address("127.0.0.1", free_port())
         key = (self.folder / "internal.key").read_bytes().strip()
         clock = RuntimeClock()
         peer = Peer("bench", "bench", str(own))
         links = LinkCoordinator(peer, own, key, clock, _NoMetrics())
-        return ControlClient(links, clock, told, CALL_TIMEOUT_S)
+        return ControlClient(links, clock, addresses, CALL_TIMEOUT_S)
 
 
 class _NoMetrics:
@@ -133,12 +135,12 @@
 
 def wait_for(what: str, ready: Callable[[], bool], timeout: float = 60.0) -> float:
     """Wait until a condition is true; return the seconds that it took."""
-    begun = time.monotonic()
+    started_at = time.monotonic()
     while not ready():
-        if time.monotonic() - begun > timeout:
+        if time.monotonic() - started_at > timeout:
             raise TimeoutError(what)
         time.sleep(POLL_S)
-    return time.monotonic() - begun
+    return time.monotonic() - started_at
 
 
 def latency_summary(seconds: list[float]) -> dict[str, Any]:
@@ -167,16 +169,16 @@
         nonlocal number
         while time.monotonic() < until:
             number += 1
-            begun = time.monotonic()
+            started_at = time.monotonic()
             result = await async_one(number)
-            times.append(time.monotonic() - begun)
+            times.append(time.monotonic() - started_at)
             results[result] = results.get(result, 0) + 1
 
-    begun = time.monotonic()
+    started_at = time.monotonic()
     async with curio.TaskGroup() as group:
         for _ in range(workers):
             await group.spawn(async_worker)
-    rate = round(len(times) / (time.monotonic() - begun), 1)
+    rate = round(len(times) / (time.monotonic() - started_at), 1)
     return {
         "a_second": rate,
         "at_once": workers,
--- a/bench/control_parts.py
+++ b/bench/control_stubs.py
@@ -133,9 +133,9 @@
 
 
 def measure_cpu_seconds(call: Callable[[], Any]) -> float:
-    began = time.process_time()
+    started_at = time.process_time()
     call()
-    return time.process_time() - began
+    return time.process_time() - started_at
 
 
 def measure_allocation(call: Callable[[], Any]) -> tuple[Any, int]:
--- a/bench/control_system.py
+++ b/bench/control_system.py
@@ -85,9 +85,9 @@
             others = [name for name in REPLICAS if name != leader]
             version = deployment.control()["control"]["state"]["config_version"]
             deployment.process(leader).kill()
-            begun = time.monotonic()
+            started_at = time.monotonic()
             curio.run(self._async_until_accepted, deployment, version, number)
-            times.append(time.monotonic() - begun)
+            times.append(time.monotonic() - started_at)
             deployment.start_host(leader)
             wait_for(
                 "redundancy", lambda o=others: deployment.failure_tolerance(o) == 1
@@ -121,24 +121,26 @@
         """Watch the version at all nodes; then again with one node partitioned."""
         nodes = {f"n{number}": "entry,dispatch" for number in range(6)}
         deployment.start_all(nodes, "entry,dispatch", proxied=True)
-        whole = [self._change(deployment, number, "") for number in range(self.tries)]
-        cut = []
+        unpartitioned = [
+            self._change(deployment, number, "") for number in range(self.tries)
+        ]
+        partitioned = []
         for number in range(self.tries_cut):
             for name in REPLICAS:
                 deployment.set_cut("n5", name, True)
-            cut.append(self._change(deployment, 1000 + number, "n5"))
+            partitioned.append(self._change(deployment, 1000 + number, "n5"))
             for name in REPLICAS:
                 deployment.set_cut("n5", name, False)
             wait_for("n5 is back", lambda: deployment.ready("n5"))
         return {
-            "accepted": latency_summary([accepted for accepted, _ in whole]),
-            "in_force_on_9": latency_summary([done for _, done in whole]),
-            "in_force_with_one_cut": latency_summary([done for _, done in cut]),
+            "accepted": latency_summary([accepted for accepted, _ in unpartitioned]),
+            "in_force_on_9": latency_summary([done for _, done in unpartitioned]),
+            "in_force_with_one_cut": latency_summary([done for _, done in partitioned]),
             "resolution_ms": 20,
         }
 
     def _change(
-        self, deployment: ControlDeployment, number: int, cut: str
+        self, deployment: ControlDeployment, number: int, partitioned: str
     ) -> tuple[float, float]:
         version = deployment.control()["control"]["state"]["config_version"]
         config = builders.config_document()
@@ -146,13 +148,16 @@
         port = deployment.hosts_by_name["a"].ports["operator"]
         headers = {"If-Match": f'"{version}"'}
         done: list[float] = []
-        begun = time.monotonic()
+        started_at = time.monotonic()
 
         def watch(name: str) -> None:
             wait_for(
-                name, lambda: self._enforces_version(deployment, name, version + 1, cut)
+                name,
+                lambda: self._enforces_version(
+                    deployment, name, version + 1, partitioned
+                ),
             )
-            done.append(time.monotonic() - begun)
+            done.append(time.monotonic() - started_at)
 
         threads = [
             threading.Thread(target=watch, args=(name,))
@@ -161,7 +166,7 @@
         status, _, _ = deployment.send_request(
             port, "PUT", "/v1/config", config, headers
         )
-        accepted = time.monotonic() - begun
+        accepted = time.monotonic() - started_at
         assert status == 200, status
         for thread in threads:
             thread.start()
@@ -171,10 +176,10 @@
         return accepted, max(done)
 
     def _enforces_version(
-        self, deployment: ControlDeployment, name: str, version: int, cut: str
+        self, deployment: ControlDeployment, name: str, version: int, partitioned: str
     ) -> bool:
         """Return whether a node can send nothing under an older configuration."""
-        if name == cut:
+        if name == partitioned:
             return not deployment.ready(name)
         node = deployment.state(name).get("components", {}).get("node", {})
         return bool(node.get("config_version", 0) >= version)
@@ -210,33 +215,35 @@
         time.sleep(5.0)
         rate = {name: (loads[name].done - before[name]) / 5.0 for name in callers}
         start = {name: loads[name].done for name in callers}
-        places = {name: len(loads[name].calls) for name in callers}
-        broken = self._break(deployment, leader)
+        call_offsets = {name: len(loads[name].calls) for name in callers}
+        faulty_host = self._inject_fault(deployment, leader)
         time.sleep(self.seconds)
         done = {name: loads[name].done - start[name] for name in callers}
         refusals: dict[str, int] = {}
         for name in callers:
-            for call in loads[name].calls[places[name] :]:
+            for call in loads[name].calls[call_offsets[name] :]:
                 if not call.whole:
                     key = f"{call.outcome}/{call.reason}"
                     refusals[key] = refusals.get(key, 0) + 1
         for name in deployment.hosts_by_name:
-            if name != broken and self.case != "quorum-lost":
-                deployment.set_cut(broken, name, False)
+            if name != faulty_host and self.case != "quorum-lost":
+                deployment.set_cut(faulty_host, name, False)
         for load in loads.values():
             load.stopping = True
         expected = {name: rate[name] * self.seconds for name in callers}
-        reached = [n for n in callers if n != broken]
+        reachable = [n for n in callers if n != faulty_host]
         if self.case == "quorum-lost":
-            reached = [n for n in callers if n in ("d", "e", broken)]
-        others = sum(expected[n] for n in reached)
+            reachable = [n for n in callers if n in ("d", "e", faulty_host)]
+        others = sum(expected[n] for n in reachable)
         return {
             "case": self.case,
             "serving_on": self.serving_on,
             "seconds": self.seconds,
             "rate_before": round(sum(rate.values()), 1),
-            "kept_at_broken_host": round(done[broken] / max(expected[broken], 1), 3),
-            "kept_at_others": round(sum(done[n] for n in reached) / others, 3),
+            "kept_at_broken_host": round(
+                done[faulty_host] / max(expected[faulty_host], 1), 3
+            ),
+            "kept_at_others": round(sum(done[n] for n in reachable) / others, 3),
             "not_done": refusals,
         }
 
@@ -244,19 +251,19 @@
         port = deployment.hosts_by_name[name].ports["caller"]
         return Load([port], deployment.records, name, 4)
 
-    def _break(self, deployment: ControlDeployment, leader: str) -> str:
+    def _inject_fault(self, deployment: ControlDeployment, leader: str) -> str:
         if self.case == "quorum-lost":
             for name in REPLICAS:
                 if name != leader:
                     deployment.process(name).kill()
             return leader
-        broken = leader if self.case == "leader-cut" else "d"
+        faulty_host = leader if self.case == "leader-cut" else "d"
         for name in REPLICAS:
-            if name != broken:
-                deployment.set_cut(broken, name, True)
+            if name != faulty_host:
+                deployment.set_cut(faulty_host, name, True)
         if self.case == "leader-cut":
-            deployment.set_cut(broken, "owner", True)
-        return broken
+            deployment.set_cut(faulty_host, "owner", True)
+        return faulty_host
 
 
 @dataclass
@@ -271,13 +278,13 @@
     system = cappa.parse(ControlSystem)
     with tempfile.TemporaryDirectory() as folder:
         with ControlDeployment(Path(folder)) as deployment:
-            begun, load = time.monotonic(), os.getloadavg()[0]
+            started_at, load = time.monotonic(), os.getloadavg()[0]
             try:
                 figures = system.command.run(deployment)
             except Exception:
                 print(deployment.log_tails(), file=sys.stderr)
                 raise
-        figures["took_s"] = round(time.monotonic() - begun, 1)
+        figures["took_s"] = round(time.monotonic() - started_at, 1)
         figures["load_1m"] = [round(load, 1), round(os.getloadavg()[0], 1)]
         figures["cores"] = os.cpu_count()
         print(json.dumps(figures, indent=1))
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -80,10 +80,10 @@
             "owner": self._deployment.process("a").pid,
         }
         before = {role: cpu_seconds(pid) for role, pid in pids.items()}
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         load()
         used = {role: cpu_seconds(pid) - before[role] for role, pid in pids.items()}
-        return used | {"wall": time.perf_counter() - begun}
+        return used | {"wall": time.perf_counter() - started_at}
 
 
 def lookup_request(number: int) -> Request:
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -68,10 +68,10 @@
         place = self._rng.randrange(len(running))
         running[place], running[-1] = running[-1], running[place]
         grant = running.pop()
-        done = Completion(
+        completion = Completion(
             grant.request_id, grant.upstream, "done", 100, 0, 0.2, 2.0, True
         )
-        self._apply(self.scheduler.finished(done, self.now))
+        self._apply(self.scheduler.finished(completion, self.now))
 
     def fill_slots(self) -> None:
         """Advance the time with announcements and ticks until all slots are in use."""
@@ -107,7 +107,7 @@
     load = SchedulerLoad(upstreams, waiting, seed=1)
     rate = 10_000.0
     load.decided = 0
-    began = time.process_time()
+    started_at = time.process_time()
     passed = 0.0
     for _ in range(DECISIONS):
         load.finish_one()
@@ -116,7 +116,7 @@
         if passed >= TICK_EVERY:
             load.advance(passed)
             passed = 0.0
-    seconds = time.process_time() - began
+    seconds = time.process_time() - started_at
     return {
         "upstreams": upstreams,
         "waiting": waiting,
--- a/bench/entry.py
+++ b/bench/entry.py
@@ -100,7 +100,7 @@
         """Apply a decision of the owner; return a grant that is no longer needed."""
         attempt = self.attempts_by_id[decision.request_id]
         if isinstance(decision, Refused):
-            self._refuse(attempt, decision)
+            self._handle_refusal(attempt, decision)
             return
         if attempt.outcome != "waiting":
             self._owner.send("returned", attempt.request_id, "expired", False)
@@ -199,7 +199,7 @@
         )
         self._owner.send("finished", completion)
 
-    def _refuse(self, attempt: Attempt, refused: Refused) -> None:
+    def _handle_refusal(self, attempt: Attempt, refused: Refused) -> None:
         if attempt.outcome != "waiting":
             return
         now = self._loop.now()
@@ -211,9 +211,9 @@
 
     def _retry_later(self, attempt: Attempt, retry_after: float) -> None:
         """Schedule the retry of a refused caller, if it is before the deadline."""
-        back_at = self._loop.now() + retry_after
-        if back_at < attempt.deadline:
-            self._loop.at(back_at, self.accept, attempt.request, attempt.retries + 1)
+        retry_at = self._loop.now() + retry_after
+        if retry_at < attempt.deadline:
+            self._loop.at(retry_at, self.accept, attempt.request, attempt.retries + 1)
 
     def _output_tokens(self, attempt: Attempt) -> int:
         if attempt.job is None:
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -42,10 +42,10 @@
             schedulers=tuple(self.scheduler or plan.schedulers),
             parameters=tuple(map(_parse_parameter, self.parameter or ())),
         )
-        began = time.monotonic()
+        started_at = time.monotonic()
         results = run_all(plan, self.jobs)
         self.out.write_text(json.dumps(results))
-        seconds = time.monotonic() - began
+        seconds = time.monotonic() - started_at
         sys.stdout.write(f"{len(results)} runs in {seconds:.0f} s: {self.out}\n")
 
 
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -85,7 +85,7 @@
     Return the results. A caller disconnects at the deadline.
     """
     results: list[tuple[OfferedRequest, Result]] = []
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
 
     async def async_caller(offered: OfferedRequest) -> None:
         port = ports[offered.host % len(ports)]
@@ -97,7 +97,7 @@
 
     async with curio.TaskGroup(wait=all) as group:
         for offered in requests:
-            pause = offered.at - (time.perf_counter() - begun)
+            pause = offered.at - (time.perf_counter() - started_at)
             if pause > 0:
                 await curio.sleep(pause)
             await group.spawn(async_caller, offered)
--- a/bench/replication.py
+++ b/bench/replication.py
@@ -49,7 +49,7 @@
 READY = "ready"
 
 
-class Timer:
+class SyncTimings:
     """Metrics that record the durations of synced writes."""
 
     def __init__(self) -> None:
@@ -108,11 +108,11 @@
     every: int = 1_000_000,
 ) -> tuple[Runtime, Any]:
     settings = make_settings(host, folder, bootstrap, every)
-    clock, timer = RuntimeClock(), Timer()
-    runtime = Runtime(settings, clock, timer)
+    clock, metrics = RuntimeClock(), SyncTimings()
+    runtime = Runtime(settings, clock, metrics)
     own = Peer(host, runtime.incarnation, str(settings.listen.peer_address))
     runtime.links = LinkCoordinator(
-        own, settings.listen.internal, settings.keys.internal, clock, timer
+        own, settings.listen.internal, settings.keys.internal, clock, metrics
     )
     await runtime.stack.__aenter__()
     await links.async_setup(runtime, runtime.links)
@@ -128,16 +128,16 @@
         sys.stdout.flush()
         commands = curio.Queue()
         reader = await curio.spawn(async_read_commands, commands)
-        leads = False
+        was_leader = False
         while not reader.terminated:
-            now_leads = log.is_leader() and await log.async_confirm(1.0) is not None
-            if now_leads and not leads:
+            is_leader = log.is_leader() and await log.async_confirm(1.0) is not None
+            if is_leader and not was_leader:
                 print_figures(leader=runtime.clock.now())
-            leads = now_leads
+            was_leader = is_leader
             if not commands.empty():
                 await commands.get()
                 print_figures(load=[await async_load(runtime, log, n) for n in CALLERS])
-            await curio.sleep(0.005 if not leads else 0.05)
+            await curio.sleep(0.005 if not was_leader else 0.05)
 
     curio.run(serve)
 
@@ -160,10 +160,10 @@
 
     async def call() -> None:
         while time.monotonic() < end:
-            began = time.monotonic()
+            started_at = time.monotonic()
             result = await log.async_propose(COMMAND, 5.0)
             if result.status == "committed":
-                took.append(time.monotonic() - began)
+                took.append(time.monotonic() - started_at)
 
     async with curio.TaskGroup() as group:
         for _ in range(callers):
@@ -226,21 +226,21 @@
         replicas[leader].process.stdin.write("load\n")
         replicas[leader].process.stdin.flush()
         _, load = wait_for_figure(replicas, "load", 10 + len(CALLERS) * (SECONDS + 5))
-        without = []
+        leaderless_seconds = []
         for _ in range(KILLS):
             killed_at = time.clock_gettime(time.CLOCK_BOOTTIME)
             replicas.pop(leader).kill()
             new, led_at = wait_for_figure(replicas, "leader", 15)
-            without.append(led_at - killed_at)
+            leaderless_seconds.append(led_at - killed_at)
             replicas[leader] = Replica(leader, folder)
             leader = new
             time.sleep(2.5)
         return {
             "load": load,
             "without_leader_s": {
-                "tries": len(without),
-                "p50": round(statistics.median(without), 2),
-                "max": round(max(without), 2),
+                "tries": len(leaderless_seconds),
+                "p50": round(statistics.median(leaderless_seconds), 2),
+                "max": round(max(leaderless_seconds), 2),
             },
         }
     finally:
@@ -258,9 +258,9 @@
             hard = HardState(1, "", 1)
             storage.write(Persist(start, hard, None, None, entries, None))
         storage.close()
-        began = time.monotonic()
+        started_at = time.monotonic()
         opened = Storage(path, "a")
-        took = time.monotonic() - began
+        took = time.monotonic() - started_at
         opened.close()
         size = sum(p.stat().st_size for p in path.iterdir())
         figures.append({"entries": count, "bytes": size, "seconds": round(took, 3)})
@@ -276,12 +276,12 @@
     for _ in range(1100):
         await log.async_propose(b"x", 5.0)
     blob = BlobState()
-    began = time.monotonic()
+    started_at = time.monotonic()
     second, _ = await async_open("b", folder, blob, ("a",))
     async with curio.timeout_after(60):
         while not blob.restored_at or len(blob.data) < size:
             await curio.sleep(0.01)
-    took = blob.restored_at - began
+    took = blob.restored_at - started_at
     await second.stack.aclose()
     await first.stack.aclose()
     return {"bytes": size, "seconds_from_start_of_learner": round(took, 2)}
--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -220,8 +220,8 @@
     def _pick(self, route: str, now: float) -> str:
         if self.phase is Phase.COMPLETE:
             return min(self.new, key=self.running_by_name.__getitem__)
-        judged = self.phase.under_way and self.allowance > 0
-        if judged and self.trial.is_below_route_share(route):
+        evaluating = self.phase.under_way and self.allowance > 0
+        if evaluating and self.trial.is_below_route_share(route):
             canaries = self._available(self.canaries, now)
             if canaries:
                 self.allowance -= 1
@@ -299,12 +299,14 @@
     """Return the summary of all rollouts of a case."""
     count = len(results)
     wanted = Phase.REVERTED if case.bad else Phase.COMPLETE
-    kept = [item for item in results if not case.bad or item.exposed <= item.allowed]
+    within_allowance = [
+        item for item in results if not case.bad or item.exposed <= item.allowed
+    ]
     late = [item for item in results if case.bad and item.after_50th > ROLLBACK_SECONDS]
     return {
         "case": case.name,
         "right": sum(item.phase == wanted and item.in_time for item in results) / count,
-        "exposure_kept": len(kept) / count,
+        "exposure_kept": len(within_allowance) / count,
         "most_of_allowed": max(item.exposed / item.allowed for item in results),
         "late_rollbacks": len(late) / count,
         "reverted": sum(item.phase == Phase.REVERTED for item in results) / count,
--- a/bench/run.py
+++ b/bench/run.py
@@ -33,7 +33,7 @@
 
     make_scheduler_under_test replaces the scheduler that spec names.
     """
-    began = time.process_time()
+    started_at = time.process_time()
     pool = POOLS_BY_NAME[spec.pool]
     case = CASES_BY_NAME[spec.case]
     rate = spec.load * capacity(pool.name)
@@ -76,7 +76,7 @@
     _schedule_faults(case, spec.duration, loop, owner, hosts)
     longest = max((request.deadline for request in requests), default=0.0)
     loop.run(spec.duration + longest + 1.0)
-    return hosts, owner, time.process_time() - began
+    return hosts, owner, time.process_time() - started_at
 
 
 def _schedule_faults(
--- a/bench/system.py
+++ b/bench/system.py
@@ -50,31 +50,31 @@
         start_deployment(
             deployment, ProcessCounts(engines=1, entry_only=1, token_ms=1.0)
         )
-        ports_by_way = {
+        ports_by_path = {
             "direct": deployment.upstreams_by_name["e0"].port,
             "one_host": deployment.hosts_by_name["a"].ports["caller"],
             "two_hosts": deployment.hosts_by_name["b0"].ports["caller"],
         }
-        times_by_way: dict[str, list[float]] = {way: [] for way in ports_by_way}
+        times_by_path: dict[str, list[float]] = {path: [] for path in ports_by_path}
 
         async def async_all() -> None:
             for number in range(self.count + 50):
-                for way, port in ports_by_way.items():
-                    request = chat_request(f"{way}-{number}", tokens=3)
+                for path, port in ports_by_path.items():
+                    request = chat_request(f"{path}-{number}", tokens=3)
                     result = await async_request(port, request, TIMEOUT_S)
                     assert result.status == 200 and not result.cut, result
                     if number >= 50:
-                        times_by_way[way].append(result.first_s * 1000)
+                        times_by_path[path].append(result.first_s * 1000)
 
         curio.run(async_all)
-        ms_by_way = {way: quantiles(times) for way, times in times_by_way.items()}
-        direct = ms_by_way["direct"]
+        ms_by_path = {path: quantiles(times) for path, times in times_by_path.items()}
+        direct = ms_by_path["direct"]
         added = {
-            way: {key: round(value - direct[key], 3) for key, value in found.items()}
-            for way, found in ms_by_way.items()
-            if way != "direct"
+            path: {key: round(value - direct[key], 3) for key, value in found.items()}
+            for path, found in ms_by_path.items()
+            if path != "direct"
         }
-        return {"first_byte_ms": ms_by_way, "added_ms": added, "each": self.count}
+        return {"first_byte_ms": ms_by_path, "added_ms": added, "each": self.count}
 
 
 @cappa.command(name="relay")
@@ -104,9 +104,9 @@
             results.append(await async_request(port, request, TIMEOUT_S))
 
         pid = deployment.process("b0").pid
-        cpu, begun = cpu_seconds(pid), time.perf_counter()
+        cpu, started_at = cpu_seconds(pid), time.perf_counter()
         curio.run(async_each, requests, self.streams, async_one)
-        wall, cpu = time.perf_counter() - begun, cpu_seconds(pid) - cpu
+        wall, cpu = time.perf_counter() - started_at, cpu_seconds(pid) - cpu
         chunks = sum(result.body.count(b"\n\n") for result in results)
         return {
             "streams": self.streams,
@@ -208,9 +208,9 @@
         # The default timings, instead of the short ones of the scenarios.
         timings = Timings()._asdict()
         deployment = stack.enter_context(Deployment(folder, **timings))
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         figures = system.command.run(deployment)
-        figures["seconds"] = round(time.perf_counter() - begun, 1)
+        figures["seconds"] = round(time.perf_counter() - started_at, 1)
         figures["load_1m"] = round(os.getloadavg()[0], 1)
         figures["cores"] = os.cpu_count()
         figures["python"] = platform.python_version()
