--- a/tests/platform/builders.py
+++ b/tests/platform/builders.py
@@ -1,4 +1,4 @@
-"""Data of the platform for tests: documents, requests and an entry host."""
+"""Builders of the platform's documents and requests, and of an entry host."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -87,7 +87,7 @@
 LAST_CHUNK = b"0\r\n\r\n"
 
 
-def answer(body: bytes, status: bytes = b"200 OK", *lines: bytes) -> bytes:
+def response(body: bytes, status: bytes = b"200 OK", *lines: bytes) -> bytes:
     head = [
         b"HTTP/1.1 " + status,
         b"X-Attempt-Id: a1",
@@ -99,7 +99,7 @@
 
 
 Upstream = Callable[[Any, bytes, int], Awaitable[None]]
-"""Answers a request: the socket, the request, and how many came before it."""
+"""Responds to a request; gets the socket, the request and its index from 0."""
 
 
 class _Directory:
@@ -110,7 +110,7 @@
 
 
 class _GrantingLinks:
-    """Grants each registration at once."""
+    """Fake links that grant each registration at once."""
 
     def __init__(self, address: str) -> None:
         self.sent: list[Any] = []
@@ -154,7 +154,7 @@
     context: Context
 
     async def async_ask(self, data: bytes) -> bytes:
-        """Send a request; return all that comes until the host is silent."""
+        """Send a request; return data until the last chunk, a close or a timeout."""
         sock = await curio.open_connection("127.0.0.1", self.port)
         received = b""
         async with sock:
@@ -194,7 +194,7 @@
     configuration: dict[str, Any] | None = None,
     quota: QuotaGate | None = None,
 ) -> AsyncIterator[EntryHost]:
-    """Serve callers of the platform with one upstream behind."""
+    """Run an entry host of the platform with one upstream."""
     async with AsyncExitStack() as stack:
         listener = curio.tcp_server_socket("127.0.0.1", 0)
         stack.push_async_callback(listener.close)
--- a/tests/platform/processes.py
+++ b/tests/platform/processes.py
@@ -1,4 +1,4 @@
-"""Processes of the platform on loopback addresses, with stand-ins for its engines."""
+"""Processes of the platform on loopback addresses, with simulated engines."""
 
 import http.client
 import json
@@ -29,7 +29,7 @@
 
 
 class Engine:
-    """One engine of a version; fails is the part of its requests that it fails."""
+    """An engine of one version; fails is the fraction of requests that it fails."""
 
     def __init__(self, name: str, ip: str, version: str, fails: float) -> None:
         self.name = name
@@ -44,7 +44,7 @@
             protocol_version = "HTTP/1.1"
 
             def do_GET(self) -> None:
-                engine.answer(self)
+                engine.respond(self)
 
             def log_message(self, format: str, *args: Any) -> None:
                 pass
@@ -53,8 +53,8 @@
         for target in (self._server.serve_forever, self._beat):
             threading.Thread(target=target, daemon=True).start()
 
-    def answer(self, handler: BaseHTTPRequestHandler) -> None:
-        """Answer one request, as engines of the platform do."""
+    def respond(self, handler: BaseHTTPRequestHandler) -> None:
+        """Respond to a request as engines of the platform do."""
         self.runs.append(time.monotonic())
         time.sleep(0.05)
         failed = random.random() < self.fails
@@ -66,7 +66,7 @@
         handler.wfile.write(b"tile")
 
     def close(self) -> None:
-        """Stop at once, undrained."""
+        """Stop at once without draining."""
         self._stopped.set()
         self._server.shutdown()
         self._server.server_close()
@@ -91,7 +91,7 @@
 
 
 class PlatformProcess(Process):
-    """One process of the platform, told its settings file by the environment."""
+    """A process of the platform, with its settings file in the environment."""
 
     def __init__(self, name: str, settings: Path, folder: Path) -> None:
         super().__init__(name, "", [], folder)
@@ -100,7 +100,7 @@
 
 
 class Fleet:
-    """Three hosts of control and one entry host; leaving the context ends them."""
+    """Three control hosts and an entry host, which are killed on exit."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -127,13 +127,13 @@
         self._stack.close()
 
     def engine(self, name: str, number: int, version: str, fails: float = 0) -> Engine:
-        """Start an engine at an address of its own."""
+        """Start an engine on its own address."""
         made = Engine(name, f"127.0.4.{number}", version, fails)
         self._stack.callback(made.close)
         return made
 
     def order(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-        """Ask one host of control after the other until one answers."""
+        """Call the control hosts in turn until one responds without a server error."""
         found = (0, None)
         for ip in CONTROL_IPS:
             found = ask(ip, method, path, body)
@@ -142,7 +142,7 @@
         return found
 
     def call(self, threads: int) -> None:
-        """Have callers send request after request until the context is left."""
+        """Send requests in a loop from several threads until the context exits."""
         self._calling.set()
         for _ in range(threads):
             threading.Thread(target=self._call, daemon=True).start()
@@ -162,7 +162,7 @@
             time.sleep(0.02)
 
     def until(self, condition: Any) -> None:
-        """Wait until a condition holds; raise AssertionError if it doesn't in time."""
+        """Wait until a condition holds; raise AssertionError after PATIENCE seconds."""
         until = time.monotonic() + PATIENCE
         while not condition():
             assert time.monotonic() < until, "not in time"
@@ -210,21 +210,21 @@
     headers: dict[str, str] | None = None,
     port: int = CONTROL_PORT,
 ) -> tuple[int, Any]:
-    """Return status and JSON of an answer; status 0 for none."""
+    """Return status and JSON of a response; status 0 if there is none."""
     connection = http.client.HTTPConnection(ip, port, ASK_TIMEOUT)
     data = None if body is None else json.dumps(body)
     try:
         connection.request(method, path, data, headers or {})
-        answer = connection.getresponse()
-        text = answer.read()
+        response = connection.getresponse()
+        text = response.read()
     except (OSError, http.client.HTTPException):
         return 0, None
     finally:
         connection.close()
     try:
-        return answer.status, json.loads(text)
+        return response.status, json.loads(text)
     except ValueError:
-        return answer.status, None
+        return response.status, None
 
 
 def _configuration() -> dict[str, Any]:
--- a/tests/platform/test_announcement.py
+++ b/tests/platform/test_announcement.py
@@ -1,4 +1,4 @@
-"""What upstreams of the platform tell of themselves, and what others write there."""
+"""Tests of upstream announcements and of other input on their port."""
 
 import json
 
@@ -37,10 +37,10 @@
     return json.dumps(GOOD | changes).encode()
 
 
-def test_a_start_is_told_by_its_time():
-    """An upstream that was started again under its name gets no work.
+def test_start_time_is_the_incarnation():
+    """A restarted upstream with the same name must get requests.
 
-    Its time of start isn't read, so that its counts look like those of the past.
+    If its start time is ignored, its sequence numbers look outdated.
     """
     announcement = read_announcement("i-1", body())
     assert announcement.incarnation == GOOD["born"]
@@ -76,10 +76,10 @@
         {"zone": "\ud800"},
     ],
 )
-def test_another_writer_names_no_upstream(change):
-    """A host of control stops, or callers are sent to an address that is none.
+def test_invalid_field_is_rejected(change):
+    """An announcement of another program with a field of another type is rejected.
 
-    Another program's entry has a field of another type, and it is taken as it is.
+    Otherwise a control host stops, or requests are sent to an invalid address.
     """
     with pytest.raises(AnnouncementError) as raised:
         read_announcement("i-1", body(**change))
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("key", ["service", "address", "batch_slots", "state", "seq"])
-def test_a_field_is_lacking(key):
+def test_missing_field_is_rejected(key):
     document = {name: value for name, value in GOOD.items() if name != key}
     with pytest.raises(AnnouncementError):
         read_announcement("i-1", json.dumps(document).encode())
@@ -106,7 +106,7 @@
         b" " * (MAX_BODY_BYTES + 1),
     ],
 )
-def test_bytes_that_are_no_announcement(data):
+def test_bytes_that_are_not_an_announcement_are_rejected(data):
     with pytest.raises(AnnouncementError):
         read_announcement("i-1", data)
 
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration documents of the platform's operators."""
+"""Tests of the platform's configuration documents."""
 
 import hashlib
 from typing import Any
@@ -39,7 +39,7 @@
     assert names == ["r-1", "r-2", "r-1", "r-3", None, None]
 
 
-def test_kinds_tell_what_may_run_again():
+def test_route_kinds_determine_what_may_be_retried():
     config = parsed(
         route(stream_resume=True),
         route(name="b", path_prefix="/b/", stream_resume=False),
@@ -58,7 +58,7 @@
     }
 
 
-def test_rank_of_the_workspace_goes_before_that_of_the_route():
+def test_rank_of_the_workspace_precedes_that_of_the_route():
     config = parsed(
         tenants=[
             {"name": "a", "api_keys": ["ka"], "priority": 0},
@@ -69,7 +69,7 @@
     assert ranks["0.1"] < ranks["1.1"]
 
 
-def test_keys_are_held_as_digests():
+def test_keys_are_stored_as_digests():
     digest = hashlib.sha256(KEY.encode()).hexdigest()
     assert parsed().workspaces_by_token[digest].name == "foresters"
     assert KEY not in repr(parsed())
@@ -101,12 +101,12 @@
         {"tenants": [{"name": "a", "api_keys": "k"}]},
     ],
 )
-def test_invalid_documents_are_refused(bad):
+def test_invalid_documents_are_rejected(bad):
     with pytest.raises(ConfigurationError):
         parsed(**bad)
 
 
-def test_split_leaves_services_without_weight_out():
+def test_split_omits_services_without_weight():
     split = [{"service": "llm", "weight": 3}, {"service": "map", "weight": 0}]
     config = parsed(route(traffic_split=split))
     found = config.routes_by_host["trees.example"]["/trees/"]
--- a/tests/platform/test_configuration_fuzz.py
+++ b/tests/platform/test_configuration_fuzz.py
@@ -1,4 +1,4 @@
-"""Configurations that other programs have written, or that were damaged."""
+"""Property tests of malformed configurations."""
 
 import json
 from typing import Any
@@ -28,7 +28,7 @@
 
 
 def paths(value: Any, path: tuple = ()) -> list[tuple]:
-    """Return the paths to all values inside a document."""
+    """Return the paths to all values in a document."""
     found = [path] if path else []
     items = value.items() if isinstance(value, dict) else enumerate(value)
     for key, inner in items:
@@ -43,7 +43,7 @@
 
 
 def changed(path: tuple, value: Any) -> dict[str, Any]:
-    """Return a sound document with one value in it replaced."""
+    """Return a valid document with one value replaced."""
     whole = json.loads(json.dumps(document()))
     place = whole
     for key in path[:-1]:
--- a/tests/platform/test_days.py
+++ b/tests/platform/test_days.py
@@ -1,4 +1,4 @@
-"""The days that are played on each deployment besides its own."""
+"""Tests of the simulated days that run on every deployment."""
 
 import tomllib
 from pathlib import Path
@@ -19,7 +19,7 @@
     srv_crash srv_cut srv_grey srv_slow
     """.split()
 )
-"""The kinds of trouble that may come on any deployment."""
+"""The kinds of faults and events that can occur on any deployment."""
 
 PLACES = ("zone", "service", "class", "to_zone")
 
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("file", FILES, ids=lambda file: file.stem)
 def test_day_fits_any_deployment(file):
-    """A day is left out on each deployment but one, as it names a zone of that one."""
+    """A day with the name of a zone could run on that deployment only."""
     day = tomllib.loads(file.read_text())
     assert day["name"] == file.stem
     for entry in entries(file):
@@ -40,5 +40,5 @@
             assert entry.get(place, "@").startswith("@")
 
 
-def test_each_kind_of_trouble_comes():
+def test_days_cover_each_kind():
     assert {entry["kind"] for file in FILES for entry in entries(file)} == KINDS
--- a/tests/platform/test_deploy.py
+++ b/tests/platform/test_deploy.py
@@ -1,4 +1,4 @@
-"""What the platform builds and starts."""
+"""Tests of the files from which the platform builds and starts processes."""
 
 import tomllib
 from pathlib import Path
@@ -7,14 +7,14 @@
 
 
 def test_platform_installs_what_the_project_declares():
-    """A library that is added in one place only is lacking on the machines there."""
+    """A library that is added in one file only would be missing on the platform."""
     with (ROOT / "pyproject.toml").open("rb") as file:
         declared = tomllib.load(file)["project"]["dependencies"]
     listed = (ROOT / "requirements.txt").read_text().split()
     assert sorted(listed) == sorted(declared)
 
 
-def test_each_role_starts_a_program_that_is_there():
+def test_each_role_starts_an_existing_program():
     with (ROOT / "deploy" / "system.toml").open("rb") as file:
         roles = tomllib.load(file)["roles"]
     assert set(roles) == {"entry", "control"}
@@ -25,5 +25,5 @@
         assert role["metrics"] == f"{port}/metrics"
 
 
-def test_platform_folder_is_no_package():
+def test_platform_folder_is_not_a_package():
     assert not (ROOT / "platform" / "__init__.py").exists()
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,4 +1,4 @@
-"""Numbers in headers that other programs have written."""
+"""Tests of numbers in headers from callers and upstreams."""
 
 import pytest
 from bitterntiller_platform.dialect import MAX_HEADER_NUMBER, PlatformDialect
@@ -25,10 +25,10 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"3", b"a,b", b"-1,2", b"1.5,2", b"\xb2,0"])
-def test_load_that_is_none(value):
-    """A request whose answer has come is cut.
+def test_malformed_load_is_ignored(value):
+    """A malformed load header must not abort a request that has its response.
 
-    The answer tells a load with a digit that is no number, and reading it raises.
+    The superscript passes str.isdigit(), but int() raises.
     """
     assert PlatformDialect().load(answer(value)) is None
 
@@ -62,9 +62,9 @@
 @pytest.mark.parametrize(
     "value", [b"timeout=\xb2", b"timeout=", b"timeout=x", b"max=9"]
 )
-def test_kept_connection_of_no_stated_time(value):
+def test_keep_alive_header_without_a_valid_timeout(value):
     assert keep_alive_seconds([(b"keep-alive", value)]) is None
 
 
-def test_kept_connection_of_a_stated_time():
+def test_keep_alive_header_with_a_timeout():
     assert keep_alive_seconds([(b"keep-alive", b"max=9, Timeout = 5")]) == 5.0
--- a/tests/platform/test_reload.py
+++ b/tests/platform/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings files that change while a process runs."""
+"""Tests of reloading the settings file while a process runs."""
 
 import os
 from typing import Any
@@ -19,7 +19,7 @@
 
 
 class Holder:
-    """Stands for a runtime and for a session."""
+    """A fake of both a runtime and a session."""
 
     def __init__(self, settings: Any) -> None:
         self.settings = settings
@@ -34,8 +34,8 @@
     return path, holder, SettingsReloader(holder, holder, path)
 
 
-def test_other_seeds_are_taken_without_a_signal(reloader_setup):
-    """The seeds are exchanged; a host that starts joining knows only the old ones."""
+def test_changed_seeds_are_applied_without_a_signal(reloader_setup):
+    """All seeds may be replaced; a host that joins then must not use the old ones."""
     path, holder, reloader = reloader_setup
     path.write_text(FILE.replace("10.2.0.19:8229", "10.9.0.1:8229"))
     os.utime(path, ns=(1, 1))
@@ -54,7 +54,7 @@
     assert holder.control_client.seeds == []
 
 
-def test_unchanged_file_is_not_read_again(reloader_setup):
+def test_unchanged_file_is_not_reloaded(reloader_setup):
     _, holder, reloader = reloader_setup
     reloader.check()
     assert holder.control_client.seeds == []
--- a/tests/platform/test_rollout_processes.py
+++ b/tests/platform/test_rollout_processes.py
@@ -1,4 +1,4 @@
-"""Rollouts between real processes of the platform, ordered by its wire."""
+"""Tests of rollouts with real processes of the platform."""
 
 import time
 from pathlib import Path
@@ -19,9 +19,9 @@
 
 
 def play(fleet: Fleet, fails: float) -> tuple[float, list[float]]:
-    """Order a rollout under load; return when, and the runs of the new version.
+    """Run a rollout under load; return its start and the runs of the new version.
 
-    A host of control is killed meanwhile, and starts again.
+    A control host is killed and restarted meanwhile.
     """
     old = [fleet.engine(f"old{number}", number, "v1") for number in (1, 2, 3)]
     fleet.call(6)
@@ -45,7 +45,7 @@
     return ordered, sorted(run for engine in new for run in engine.runs)
 
 
-def test_good_version_is_completed_within_its_time(tmp_path: Path):
+def test_good_version_is_completed_after_its_duration(tmp_path: Path):
     with Fleet(tmp_path) as fleet:
         ordered, runs = play(fleet, 0.0)
         assert state(fleet) == "complete"
@@ -54,8 +54,8 @@
         assert statuses.count(200) >= 0.9 * len(statuses)
 
 
-def test_bad_version_is_reverted_within_its_bounds(tmp_path: Path):
-    """A bad version gets more than its part, or goes on to get requests."""
+def test_bad_version_is_reverted_within_its_limits(tmp_path: Path):
+    """A bad version must not exceed its fraction or keep getting requests."""
     with Fleet(tmp_path) as fleet:
         ordered, runs = play(fleet, 0.6)
         assert state(fleet) == "reverted"
--- a/tests/platform/test_rollouts.py
+++ b/tests/platform/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Tests of orders of rollouts on the platform's port of control."""
+"""Tests of rollout orders on the platform's control port."""
 
 import json
 from typing import Any
@@ -18,7 +18,7 @@
 
 
 class Leader:
-    """Answers each call of control with one reply, and keeps the calls."""
+    """A fake leader of control that returns one reply and records the calls."""
 
     def __init__(self, reply: Any) -> None:
         self.reply = reply
@@ -53,14 +53,14 @@
         ("not-leader", 503),
     ],
 )
-def test_order_is_answered_by_what_became_of_it(status, expected):
+def test_response_depends_on_the_status_of_the_order(status, expected):
     leader = Leader(reply(status))
     assert order(leader).status == expected
     (message,) = leader.got
     assert (message.pool, message.to, message.duration_ms) == ("trees", "v2", 12_000)
 
 
-def test_order_without_a_leader_may_be_sent_again():
+def test_order_without_a_leader_gets_503():
     assert order(Leader(None)).status == 503
 
 
@@ -79,8 +79,8 @@
         ORDER | {"duration_s": float("nan")},
     ],
 )
-def test_order_that_can_not_be_read_is_refused(document):
-    """A bad order reaches the replicated log."""
+def test_invalid_order_is_rejected(document):
+    """An invalid order must not reach the replicated log."""
     leader = Leader(reply("accepted"))
     response = order(leader, document)
     assert response.status == 400
@@ -92,7 +92,7 @@
     ("phase", "state"),
     [("judged", "serving"), ("complete", "complete"), ("reverted", "reverted")],
 )
-def test_state_is_read_in_the_words_of_the_platform(phase, state):
+def test_state_is_returned_in_the_terms_of_the_platform(phase, state):
     leader = Leader(reply("ok", to="v2", phase=phase, number=4))
     response = ask(leader, "GET", "/-/rollouts/trees")
     assert response.status == 200
@@ -104,18 +104,18 @@
     ("found", "status"),
     [(reply("absent"), 404), (reply("not-leader"), 503), (None, 503)],
 )
-def test_state_that_is_not_known_is_not_told(found, status):
+def test_unknown_state_is_not_returned(found, status):
     assert ask(Leader(found), "GET", "/-/rollouts/trees").status == status
 
 
-def test_state_of_no_service_asks_nobody():
-    """A read without a service's name shows the evidence of all of them."""
+def test_read_without_a_service_does_not_call_the_leader():
+    """A read without a service name would return the evidence of all services."""
     leader = Leader(reply("ok"))
     assert ask(leader, "GET", "/-/rollouts/").status == 404
     assert leader.got == []
 
 
-def test_version_and_time_of_warming_up_are_read():
+def test_version_and_warm_up_time_are_decoded():
     body = {
         "service": "trees",
         "address": "10.0.0.1:80",
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files of the platform."""
+"""Tests of the platform's settings files."""
 
 from pathlib import Path
 
@@ -33,7 +33,7 @@
     return load_settings(path)
 
 
-def test_seeds_are_taken_at_their_internal_port(tmp_path):
+def test_seeds_use_the_internal_port(tmp_path):
     found = loaded(tmp_path)
     seeds = [str(address) for address in found.settings.control.addresses]
     assert seeds == ["10.1.0.27:7600", "10.2.0.19:7600"]
@@ -42,12 +42,12 @@
     assert str(found.control) == "10.1.0.27:8229"
 
 
-def test_later_start_forms_no_deployment(tmp_path):
+def test_later_start_does_not_bootstrap(tmp_path):
     text = FILE.replace("bootstrap=true", "bootstrap=false")
     assert loaded(tmp_path, text).settings.control.bootstrap == ()
 
 
-def test_lease_ends_before_a_key_must_stop(tmp_path):
+def test_lease_expires_before_a_key_must_be_revoked(tmp_path):
     timings = loaded(tmp_path).settings.timings
     assert timings.lease < 5.0
     assert timings.owner_lease * 0.99 > timings.lease
@@ -63,11 +63,11 @@
         ("bounds.grace_s=8", "bounds.grace_s=soon"),
     ],
 )
-def test_bad_files_are_told(tmp_path, old, new):
+def test_invalid_file_raises(tmp_path, old, new):
     with pytest.raises(SettingsFormatError):
         loaded(tmp_path, FILE.replace(old, new))
 
 
-def test_missing_file_is_told(tmp_path):
+def test_missing_file_raises(tmp_path):
     with pytest.raises(SettingsFormatError):
         load_settings(tmp_path / "none")
--- a/tests/platform/test_streams.py
+++ b/tests/platform/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams through an entry host on the platform."""
+"""Tests of streams through an entry host of the platform."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 
 
 def body_of(received: bytes) -> bytes:
-    """Return the bytes of the chunks of an answer."""
+    """Return the decoded body of a chunked response."""
     rest = received.partition(b"\r\n\r\n")[2]
     body = b""
     while rest:
@@ -20,11 +20,11 @@
     return body
 
 
-def test_stream_that_breaks_within_an_event_goes_on_elsewhere():
-    """A caller gets an event that is made of the halves of two.
+def test_stream_that_breaks_within_an_event_is_resumed():
+    """A caller must not get an event composed of halves of two events.
 
-    An upstream dies in the middle of an event. The stream goes on at another one behind
-    the last whole event; the half that was held must not stand before what comes.
+    An upstream dies in the middle of an event. The stream is resumed on another
+    upstream after the last complete event, and the buffered half must be discarded.
     """
 
     async def upstream(sock: Any, data: bytes, number: int) -> None:
@@ -51,8 +51,8 @@
     assert [item.outcome for item in finished] == ["done"]
 
 
-def test_stream_that_may_not_be_resumed_is_cut():
-    """A caller takes a part of an answer for the whole, or its request runs twice."""
+def test_stream_that_may_not_be_resumed_is_truncated():
+    """A truncated stream must not look complete, and its request must not run twice."""
     document = builders.document(builders.route(stream_resume=False))
 
     async def upstream(sock: Any, data: bytes, number: int) -> None:
