--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -1,4 +1,7 @@
-"""Requests under kills and stops of entry processes, counted at the stand-ins."""
+"""Sends requests while entry processes are killed or stopped, and counts their runs.
+
+The stand-ins record the runs of each request.
+"""
 
 import random
 import signal
@@ -17,13 +20,13 @@
 
 TIMEOUT_S = 40.0
 PAUSE_S = (0.3, 1.2)
-FROZEN_S = (0.5, 4.0)
+STOPPED_S = (0.5, 4.0)
 KEYED_ATTEMPTS = 4
 KEYED_PAUSE_S = 0.5
 
 
 class Chaos:
-    """One run; the hosts named c… are disturbed, one or two at a time."""
+    """One run; the hosts named c… get faults, one or two at a time."""
 
     def __init__(
         self, deployment: Deployment, count: int, workers: int, seed: int
@@ -38,34 +41,34 @@
         self._done = threading.Event()
 
     def run(self) -> dict[str, Any]:
-        """Run all requests and return the counts."""
-        disturbing = threading.Thread(target=self._inject_faults)
-        disturbing.start()
-        begun = time.perf_counter()
+        """Send all requests and return the counts."""
+        fault_thread = threading.Thread(target=self._inject_faults)
+        fault_thread.start()
+        started_at = time.perf_counter()
         try:
             curio.run(async_each, range(self._count), self._workers, self._async_one)
         finally:
-            wall = time.perf_counter() - begun
+            wall = time.perf_counter() - started_at
             self._done.set()
-            disturbing.join()
+            fault_thread.join()
         time.sleep(3.0)
         return self._summarize() | {"run_s": round(wall, 1)}
 
     def _inject_faults(self) -> None:
-        chance = random.Random(self._random.random())
+        rng = random.Random(self._random.random())
         names = [host.name for host in self._hosts if host.name.startswith("c")]
-        while not self._done.wait(chance.uniform(*PAUSE_S)):
-            name = chance.choice(names)
+        while not self._done.wait(rng.uniform(*PAUSE_S)):
+            name = rng.choice(names)
             process = self._deployment.process(name)
-            if chance.random() < 0.5:
+            if rng.random() < 0.5:
                 self._signals["SIGKILL"] += 1
                 process.kill()
-                self._done.wait(chance.uniform(*PAUSE_S))
+                self._done.wait(rng.uniform(*PAUSE_S))
                 process.start()
             else:
                 self._signals["SIGSTOP"] += 1
                 process.signal(signal.SIGSTOP)
-                self._done.wait(chance.uniform(*FROZEN_S))
+                self._done.wait(rng.uniform(*STOPPED_S))
                 process.signal(signal.SIGCONT)
 
     async def _async_one(self, number: int) -> None:
@@ -81,7 +84,7 @@
                 await curio.sleep(KEYED_PAUSE_S)
 
     async def _async_send(self, request: Request) -> Result:
-        """Send to some host; one that refuses the connection got nothing."""
+        """Send to a random host; try the next one if it refuses the connection."""
         hosts = self._random.sample(self._hosts, len(self._hosts))
         for host in hosts:
             result = await async_request(host.ports["caller"], request, TIMEOUT_S)
@@ -113,7 +116,7 @@
             for record in self._deployment.records("run")
         )
         found: Counter[str] = Counter()
-        wrong: list[dict[str, Any]] = []
+        violations: list[dict[str, Any]] = []
         for number, (request, results) in self._results.items():
             ran = runs[request.target, digest(request.body)]
             found[f"runs {ran}"] += 1
@@ -121,7 +124,7 @@
                 found[f"heard {describe_result(result)}"] += 1
             for fault in find_faults(request, results, ran):
                 found[f"FAULT {fault}"] += 1
-                wrong.append(
+                violations.append(
                     {
                         "number": number,
                         "fault": fault,
@@ -135,12 +138,12 @@
             "recorded_runs": recorded,
             "signals": dict(self._signals),
             "counts": dict(sorted(found.items())),
-            "faults": wrong[:20],
+            "faults": violations[:20],
         }
 
 
 def describe_result(result: Result) -> str:
-    """Return in short what a caller heard."""
+    """Return a short description of the response that a caller got."""
     if not result.sent:
         return "no host"
     if result.status == 0:
@@ -152,7 +155,7 @@
 
 
 def find_faults(request: Request, results: list[Result], ran: int) -> list[str]:
-    """Return which promises a request's answers and runs break."""
+    """Return which guarantees a request's responses and runs violate."""
     faults = []
     if ran > 1:
         faults.append("ran more than once")
@@ -162,8 +165,9 @@
             faults.append("wrong, mixed or short without a visible cut")
         if whole and ran == 0:
             faults.append("answered but never ran")
-    # Only the last word counts for a key that was sent more than once: the first
-    # copy may truly not have run before the second one did.
+    # If a request with an idempotency key was sent more than once, only the last
+    # response counts: the first copy may not have run when it was answered not-run,
+    # and the second one may have run later.
     last = results[-1]
     if last.outcome == "not-run" and ran:
         faults.append("not-run that had run")
--- a/bench/system.py
+++ b/bench/system.py
@@ -1,6 +1,6 @@
-"""Figures of whole deployments on one machine: `python -m bench.system --help`.
+"""Measures whole deployments on one machine: `python -m bench.system --help`.
 
-Each command starts hosts and stand-ins on loopback, ends them by their ids, and
+Each command starts hosts and stand-ins on loopback, ends them by process id, and
 prints one JSON document. The figures hold for the machine and its load at that time.
 """
 
@@ -41,54 +41,54 @@
 @cappa.command(name="latency")
 @dataclass
 class Latency:
-    """Added latency to the first byte: direct, one host, entry and owner apart."""
+    """Latency to the first byte: direct, via one host, and with a separate owner."""
 
     count: Annotated[int, cappa.Arg(long=True)] = 2000
 
     def run(self, deployment: Deployment) -> dict[str, Any]:
-        """Send each kind in turn, one at a time, so that noise hits all alike."""
+        """Send one request at a time, on each path in turn, so that noise is shared."""
         start_deployment(
             deployment, ProcessCounts(engines=1, entry_only=1, token_ms=1.0)
         )
-        ports_by_way = {
+        ports_by_path = {
             "direct": deployment.upstreams_by_name["e0"].port,
             "one_host": deployment.hosts_by_name["a"].ports["caller"],
             "two_hosts": deployment.hosts_by_name["b0"].ports["caller"],
         }
-        times_by_way: dict[str, list[float]] = {way: [] for way in ports_by_way}
+        times_by_path: dict[str, list[float]] = {path: [] for path in ports_by_path}
 
         async def async_all() -> None:
             for number in range(self.count + 50):
-                for way, port in ports_by_way.items():
-                    request = chat_request(f"{way}-{number}", tokens=3)
+                for path, port in ports_by_path.items():
+                    request = chat_request(f"{path}-{number}", tokens=3)
                     result = await async_request(port, request, TIMEOUT_S)
                     assert result.status == 200 and not result.cut, result
                     if number >= 50:
-                        times_by_way[way].append(result.first_s * 1000)
+                        times_by_path[path].append(result.first_s * 1000)
 
         curio.run(async_all)
-        ms_by_way = {way: quantiles(times) for way, times in times_by_way.items()}
-        direct = ms_by_way["direct"]
+        ms_by_path = {path: quantiles(times) for path, times in times_by_path.items()}
+        direct = ms_by_path["direct"]
         added = {
-            way: {key: round(value - direct[key], 3) for key, value in found.items()}
-            for way, found in ms_by_way.items()
-            if way != "direct"
+            path: {key: round(value - direct[key], 3) for key, value in found.items()}
+            for path, found in ms_by_path.items()
+            if path != "direct"
         }
-        return {"first_byte_ms": ms_by_way, "added_ms": added, "each": self.count}
+        return {"first_byte_ms": ms_by_path, "added_ms": added, "each": self.count}
 
 
 @cappa.command(name="relay")
 @dataclass
 class Relay:
-    """Chunks relayed by one entry process, and the processor time they take."""
+    """Chunks relayed by one entry process, and the processor time that they take."""
 
     seconds: Annotated[float, cappa.Arg(long=True)] = 15.0
     streams: Annotated[int, cappa.Arg(long=True)] = STREAMS
     tokens_s: Annotated[float, cappa.Arg(long=True)] = REQUIRED_TOKENS_S
-    """Tokens a second over all streams that the engines make."""
+    """Tokens per second that the engines produce over all streams."""
 
     def run(self, deployment: Deployment) -> dict[str, Any]:
-        """Hold streams through an entry process that owns no pool."""
+        """Relay streams through an entry process that owns no pool."""
         token_ms = 1000 * self.streams / self.tokens_s
         sizes = ProcessCounts(engines=6, slots=200, entry_only=1, token_ms=token_ms)
         start_deployment(deployment, sizes)
@@ -104,9 +104,9 @@
             results.append(await async_request(port, request, TIMEOUT_S))
 
         pid = deployment.process("b0").pid
-        cpu, begun = cpu_seconds(pid), time.perf_counter()
+        cpu, started_at = cpu_seconds(pid), time.perf_counter()
         curio.run(async_each, requests, self.streams, async_one)
-        wall, cpu = time.perf_counter() - begun, cpu_seconds(pid) - cpu
+        wall, cpu = time.perf_counter() - started_at, cpu_seconds(pid) - cpu
         chunks = sum(result.body.count(b"\n\n") for result in results)
         return {
             "streams": self.streams,
@@ -122,12 +122,12 @@
 @cappa.command(name="memory")
 @dataclass
 class Memory:
-    """Resident memory of an entry process with requests served and streams held."""
+    """Resident memory of an entry process after requests and with open streams."""
 
     count: Annotated[int, cappa.Arg(long=True)] = 10_000
 
     def run(self, deployment: Deployment) -> dict[str, Any]:
-        """Serve requests in tenths, then hold streams."""
+        """Serve the requests in ten batches, then hold streams open."""
         sizes = ProcessCounts(engines=4, slots=400, entry_only=1, token_ms=0.2)
         start_deployment(deployment, sizes)
         host = deployment.hosts_by_name["b0"]
@@ -173,14 +173,14 @@
 @cappa.command(name="chaos")
 @dataclass
 class ChaosRun:
-    """Requests while entry processes are killed, frozen, thawed and restarted."""
+    """Requests while entry processes are killed, restarted, stopped and resumed."""
 
     count: Annotated[int, cappa.Arg(long=True)] = 10_000
     workers: Annotated[int, cappa.Arg(long=True)] = 32
     seed: Annotated[int, cappa.Arg(long=True)] = 1
 
     def run(self, deployment: Deployment) -> dict[str, Any]:
-        """Count at the stand-ins what ran, and compare with what callers heard."""
+        """Compare the runs that the stand-ins recorded with the callers' responses."""
         sizes = ProcessCounts(engines=3, plain=2, slots=32, both_roles=3, token_ms=3.0)
         start_deployment(deployment, sizes)
         chaos = Chaos(deployment, self.count, self.workers, self.seed)
@@ -193,7 +193,7 @@
 
     command: cappa.Subcommands[Latency | Relay | Memory | ChaosRun]
     keep: Annotated[Path | None, cappa.Arg(long=True)] = None
-    """A folder for the logs and records; without it they are removed."""
+    """A folder in which to keep the logs and records; by default they are removed."""
 
 
 def main() -> None:
@@ -205,12 +205,12 @@
         else:
             folder = system.keep
             folder.mkdir(parents=True, exist_ok=True)
-        # The product's own timings, not the short ones of the scenarios.
+        # The default timings, instead of the short ones of the scenarios.
         timings = Timings()._asdict()
         deployment = stack.enter_context(Deployment(folder, **timings))
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         figures = system.command.run(deployment)
-        figures["seconds"] = round(time.perf_counter() - begun, 1)
+        figures["seconds"] = round(time.perf_counter() - started_at, 1)
         figures["load_1m"] = round(os.getloadavg()[0], 1)
         figures["cores"] = os.cpu_count()
         figures["python"] = platform.python_version()
