--- a/tests/components/http/test_server.py
+++ b/tests/components/http/test_server.py
@@ -144,7 +144,8 @@
 
     Their hosts send no reset, so the connections stayed open and requests that waited
     or streamed slowly continued: an engine worked for 15 minutes on responses that
-    nobody could receive. Loopback can't lose packets, so this checks the socket options.
+    nobody could receive. Loopback can't lose packets, so this checks the socket
+    options.
     """
     found = []
 
