--- a/bitterntiller/components/http/exchange.py
+++ b/bitterntiller/components/http/exchange.py
@@ -34,7 +34,7 @@
         self.h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=head_bytes)
         self.sock = sock
         self.write_timeout = write_timeout
-        self.gone = False
+        self.disconnected = False
         self.closing = False
 
     async def async_next_event(self, timeout: float) -> Any:
@@ -59,7 +59,7 @@
         try:
             return await self.sock.recv(READ_BYTES)
         except OSError as error:
-            self.gone = True
+            self.disconnected = True
             raise CallerGoneError(repr(error)) from error
 
     async def async_wait_bytes(self) -> bool:
@@ -82,7 +82,7 @@
             except OSError:
                 data = b""
             if not data:
-                self.gone = True
+                self.disconnected = True
                 return
             self.h11.receive_data(data)
             kept += len(data)
@@ -99,7 +99,7 @@
         except BlockingIOError:
             sent = 0
         except OSError as error:
-            self.gone = True
+            self.disconnected = True
             raise CallerGoneError(repr(error)) from error
         if sent < len(data):
             await self._async_write_rest(memoryview(data)[sent:])
@@ -109,10 +109,10 @@
             async with curio.timeout_after(self.write_timeout):
                 await self.sock.sendall(data)
         except curio.TaskTimeout:
-            self.gone = True
+            self.disconnected = True
             raise CallerGoneError("the caller stopped reading") from None
         except OSError as error:
-            self.gone = True
+            self.disconnected = True
             raise CallerGoneError(repr(error)) from error
 
     async def async_reset(self) -> None:
@@ -124,7 +124,7 @@
         on it: the next socket would get the same file descriptor and with it that
         wait, and its connect would fail.
         """
-        self.gone = True
+        self.disconnected = True
         try:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         except OSError:
--- a/bitterntiller/components/http/server.py
+++ b/bitterntiller/components/http/server.py
@@ -107,7 +107,7 @@
             finally:
                 self.busy -= 1
             if not self._reusable(connection, exchange):
-                if not connection.gone:
+                if not connection.disconnected:
                     await connection.async_linger()
                 return
             connection.h11.start_next_cycle()
@@ -133,7 +133,7 @@
         return False
 
     def _reusable(self, connection: ServerConnection, exchange: Exchange) -> bool:
-        if self.draining or connection.gone or not exchange.finished:
+        if self.draining or connection.disconnected or not exchange.finished:
             return False
         return (
             connection.h11.our_state is h11.DONE
--- a/bitterntiller/components/links/connection.py
+++ b/bitterntiller/components/links/connection.py
@@ -125,8 +125,8 @@
                 self._send_pending.clear()
                 await self._send_pending.wait()
             await curio.sleep(const.LIVENESS_CHECK_PERIOD)
-            heard, self._received = self._received, False
-            if heard or not self._sent:
+            received, self._received = self._received, False
+            if received or not self._sent:
                 silent = 0
                 continue
             silent += 1
--- a/bitterntiller/components/links/const.py
+++ b/bitterntiller/components/links/const.py
@@ -19,7 +19,7 @@
 """
 
 KEEPALIVE_TIMEOUT = 4
-REDIAL_DELAY = 0.1
+RECONNECT_DELAY = 0.1
 """Seconds in which messages to an unreachable host fail without a new attempt."""
 
 LIVENESS_CHECK_PERIOD = 0.3
--- a/bitterntiller/components/links/coordinator.py
+++ b/bitterntiller/components/links/coordinator.py
@@ -26,7 +26,7 @@
 from bitterntiller.protocol import messages
 
 
-class Dial(NamedTuple):
+class ConnectAttempt(NamedTuple):
     """A connection attempt; settled once it ended or the peer connected first."""
 
     task: curio.Task
@@ -56,7 +56,7 @@
         self._metrics = metrics
         self._handlers_by_type: dict[type, MessageHandler] = {}
         self._connections_by_address: dict[str, Connection] = {}
-        self._dials_by_address: dict[str, Dial] = {}
+        self._attempts_by_address: dict[str, ConnectAttempt] = {}
         self._failed_at_by_address: dict[str, float] = {}
         self._running_by_connection: dict[Connection, curio.Task] = {}
         self._runtime: Runtime | None = None
@@ -128,8 +128,8 @@
         """Close all connections and end their calls."""
         for task in list(self._running_by_connection.values()):
             await task.cancel()
-        for dial in list(self._dials_by_address.values()):
-            await dial.task.cancel()
+        for attempt in list(self._attempts_by_address.values()):
+            await attempt.task.cancel()
 
     async def _async_accept(self, sock: curio.io.Socket) -> None:
         try:
@@ -159,9 +159,9 @@
             or present.peer.incarnation != connection.peer.incarnation
         ):
             self._connections_by_address[address] = connection
-        dial = self._dials_by_address.get(address)
-        if dial is not None:
-            await dial.settled.set()
+        attempt = self._attempts_by_address.get(address)
+        if attempt is not None:
+            await attempt.settled.set()
 
     async def _async_run(self, connection: Connection) -> None:
         try:
@@ -181,20 +181,23 @@
         failed_at = self._failed_at_by_address.get(address)
         # Without this delay each message to a failed host would wait for a connection
         # attempt of its own.
-        if failed_at is not None and self._clock.now() - failed_at < const.REDIAL_DELAY:
+        if (
+            failed_at is not None
+            and self._clock.now() - failed_at < const.RECONNECT_DELAY
+        ):
             return None
-        dial = self._dials_by_address.get(address)
-        if dial is None:
+        attempt = self._attempts_by_address.get(address)
+        if attempt is None:
             settled = curio.Event()
-            task = await curio.spawn(self._async_dial, address, settled, daemon=True)
-            dial = self._dials_by_address[address] = Dial(task, settled)
+            task = await curio.spawn(self._async_connect, address, settled, daemon=True)
+            attempt = self._attempts_by_address[address] = ConnectAttempt(task, settled)
         # A peer that has just started may connect first, while the attempt from here
         # still waits for a port that was not open yet.
-        await dial.settled.wait()
+        await attempt.settled.wait()
         connection = self._connections_by_address.get(address)
         return connection if connection is not None and connection.open else None
 
-    async def _async_dial(self, address: str, settled: curio.Event) -> None:
+    async def _async_connect(self, address: str, settled: curio.Event) -> None:
         try:
             connection = await self._async_open(address)
             await self._async_store(address, connection)
@@ -202,7 +205,7 @@
             self._failed_at_by_address[address] = self._clock.now()
             return
         finally:
-            self._dials_by_address.pop(address, None)
+            self._attempts_by_address.pop(address, None)
             await settled.set()
         self._failed_at_by_address.pop(address, None)
         task = await curio.spawn(self._async_run, connection, daemon=True)
--- a/bitterntiller/components/logs/sample.py
+++ b/bitterntiller/components/logs/sample.py
@@ -30,9 +30,9 @@
         """Count a line about a request; return whether to write it."""
         self._offered += 1
         number = xxhash.xxh3_64_intdigest(request_id.encode("utf-8", "surrogatepass"))
-        taken = number < self.fraction * _HASHES
-        self.left_out += not taken
-        return taken
+        included = number < self.fraction * _HASHES
+        self.left_out += not included
+        return included
 
     def adapt(self, now: float) -> bool:
         """Set the fraction for the next lines; return whether it changed.
--- a/tests/components/http/builders.py
+++ b/tests/components/http/builders.py
@@ -51,6 +51,6 @@
     sock = await curio.open_connection("127.0.0.1", port)
     async with curio.timeout_after(10.0):
         await sock.sendall(data)
-        answer = await async_read(sock)
+        response = await async_read(sock)
     await sock.close()
-    return answer
+    return response
--- a/tests/components/http/test_server.py
+++ b/tests/components/http/test_server.py
@@ -38,9 +38,9 @@
     """
     size = 4_000_000
     head = f"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: {size}\r\n\r\n"
-    answer = ask(head.encode() + bytes(size), async_forbid)
-    assert answer.startswith(b"HTTP/1.1 401")
-    assert not answer.endswith(b"RESET")
+    response = ask(head.encode() + bytes(size), async_forbid)
+    assert response.startswith(b"HTTP/1.1 401")
+    assert not response.endswith(b"RESET")
 
 
 def test_idle_connection_closes_without_a_response():
@@ -49,14 +49,14 @@
     A caller that sends its next request at that moment would take the 408 for the
     response to it, so that the request seems to be refused.
     """
-    answer = ask(GET)
-    assert answer.count(b"HTTP/1.1") == 1
+    response = ask(GET)
+    assert response.count(b"HTTP/1.1") == 1
 
 
 def test_pipelined_requests_get_responses_in_order():
-    answer = ask(GET + GET.replace(b"/a", b"/b"))
-    assert answer.count(OK) == 2
-    assert answer.index(b"/a") < answer.index(b"/b")
+    response = ask(GET + GET.replace(b"/a", b"/b"))
+    assert response.count(OK) == 2
+    assert response.index(b"/a") < response.index(b"/b")
 
 
 def test_drain_closes_idle_connections():
@@ -82,9 +82,9 @@
             await sock.close()
             return rest + last
 
-    answer = curio.run(async_main)
-    assert answer.startswith(OK)
-    assert b"connection: close" in answer.lower()
+    response = curio.run(async_main)
+    assert response.startswith(OK)
+    assert b"connection: close" in response.lower()
 
 
 def test_connection_over_the_limit_gets_503():
@@ -109,8 +109,8 @@
 
 def test_expect_continue_is_supported():
     head = b"POST /a HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\n"
-    answer = ask(head + b"Content-Length: 2\r\n\r\nhi")
-    assert answer.startswith(b"HTTP/1.1 100 ") or OK in answer
+    response = ask(head + b"Content-Length: 2\r\n\r\nhi")
+    assert response.startswith(b"HTTP/1.1 100 ") or OK in response
 
 
 def test_http_1_0_caller_gets_a_response():
--- a/tests/components/links/test_coordinator.py
+++ b/tests/components/links/test_coordinator.py
@@ -279,7 +279,7 @@
             connection._async_on_frame = async_drop
             await a.async_send(b.own.address, CANCEL)
             await async_until(lambda: not a.connected(), 3.0)
-            await curio.sleep(const.REDIAL_DELAY)
+            await curio.sleep(const.RECONNECT_DELAY)
             assert await a.async_send(b.own.address, CANCEL)
             await async_until(lambda: len(got) == 2)
             return len(got)
@@ -295,10 +295,10 @@
     waiting, so control had no leader for one second more after a power loss.
     """
     got: list[Any] = []
-    dialled = curio.Event()
+    attempt_started = curio.Event()
 
     async def async_hang(ip: str, port: int, timeout: float) -> Any:
-        await dialled.set()
+        await attempt_started.set()
         await curio.sleep(5.0)
         raise OSError("no response")
 
@@ -308,7 +308,7 @@
             connect = coordinator.async_connect
             monkeypatch.setattr(coordinator, "async_connect", async_hang)
             sending = await curio.spawn(a.async_send, b.own.address, CANCEL)
-            await dialled.wait()
+            await attempt_started.wait()
             monkeypatch.setattr(coordinator, "async_connect", connect)
             assert await b.async_send(a.own.address, CANCEL)
             async with curio.timeout_after(1.0):
--- a/tests/core/test_listener.py
+++ b/tests/core/test_listener.py
@@ -34,8 +34,8 @@
             await listener.async_close()
             await curio.sleep(0.05)
             await sock.sendall(b"after")
-            answer = await sock.recv(100)
+            response = await sock.recv(100)
         await served.cancel()
-        return answer
+        return response
 
     assert curio.run(async_main) == b"after"
--- a/tests/platform/test_rollout_processes.py
+++ b/tests/platform/test_rollout_processes.py
@@ -8,7 +8,7 @@
 SECONDS = 6
 FRACTION, TOLERANCE = 0.1, 50
 ROLLBACK_SECONDS = 5.0
-BAD_ANSWERS = 50
+BAD_RESPONSES = 50
 PATH = f"/-/rollouts/{SERVICE}"
 ORDER = {"service": SERVICE, "to": "v2", "duration_s": SECONDS}
 
@@ -62,5 +62,5 @@
         reached = sum(ordered <= at <= ordered + SECONDS for at, _ in fleet.calls)
         assert len(runs) <= FRACTION * reached + TOLERANCE
         bad = [run for run in runs if run <= ordered + SECONDS]
-        later = runs[-1] - bad[min(BAD_ANSWERS, len(bad)) - 1]
+        later = runs[-1] - bad[min(BAD_RESPONSES, len(bad)) - 1]
         assert later <= ROLLBACK_SECONDS
