--- a/bitterntiller/components/http/pool.py
+++ b/bitterntiller/components/http/pool.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams that are kept for further exchanges."""
+"""A pool of reusable connections to upstreams."""
 
 from collections import deque
 
@@ -8,38 +8,38 @@
 
 
 class ConnectionPool:
-    """Idle connections by address; with most_idle 0 none is ever kept.
+    """Idle connections by address; max_idle is per address and 0 disables reuse.
 
-    Times are in seconds. A connection is used again only when it is quiet and has been
-    idle for less than idle_limit and than half of what the upstream told, so that an
-    upstream is not about to close it at the moment of the sending: whether the request
-    then ran can't be known.
+    Times are in seconds. A connection is reused only if it received nothing while idle
+    and was idle for less than idle_limit and than half of the upstream's keep-alive
+    timeout. An upstream could otherwise close it while a request is being sent, and
+    whether that request ran would be unknown.
     """
 
     def __init__(
         self,
         clock: Clock,
-        most_idle: int = 0,
+        max_idle: int = 0,
         idle_limit: float = const.DEFAULT_IDLE_LIMIT,
-        accept_close: bool = False,
+        allow_close_delimited: bool = False,
     ) -> None:
         self._clock = clock
-        self._most_idle = most_idle
+        self._max_idle = max_idle
         self._idle_limit = idle_limit
-        self._accept_close = accept_close
+        self._allow_close_delimited = allow_close_delimited
         self._idle_by_address: dict[str, deque[ClientExchange]] = {}
         self.opened = 0
         self.reused = 0
 
     @property
-    def keeps(self) -> bool:
-        """Tell whether connections are kept at all."""
-        return self._most_idle > 0
+    def keeps_connections(self) -> bool:
+        """Return whether connections are kept for reuse."""
+        return self._max_idle > 0
 
     async def async_acquire(self, address: str, timeout: float) -> ClientExchange:
-        """Return a connection; raise ConnectRefusedError when none can be made.
+        """Return a connection; raise ConnectRefusedError if none can be opened.
 
-        The newest idle one goes first, so that surplus ones grow old and end.
+        The most recently used idle connection comes first, so that surplus ones expire.
         """
         idle = self._idle_by_address.get(address)
         while idle:
@@ -49,17 +49,19 @@
                 return client
             await client.async_close()
         self.opened += 1
-        return await ClientExchange.async_open(address, timeout, self._accept_close)
+        return await ClientExchange.async_open(
+            address, timeout, self._allow_close_delimited
+        )
 
-    async def async_give_back(self, address: str, client: ClientExchange) -> None:
+    async def async_release(self, address: str, client: ClientExchange) -> None:
         """Keep a connection after its exchange, or close it."""
-        if not self._most_idle or not await client.async_release():
+        if not self._max_idle or not await client.async_prepare_reuse():
             await client.async_close()
             return
         client.idle_since = self._clock.now()
         idle = self._idle_by_address.setdefault(address, deque())
         idle.append(client)
-        if len(idle) > self._most_idle:
+        if len(idle) > self._max_idle:
             await idle.popleft().async_close()
 
     async def async_prune(self) -> None:
@@ -77,7 +79,7 @@
                 await idle.pop().async_close()
 
     def idle_by_address(self) -> dict[str, int]:
-        """Return how many idle connections there are, for the dump."""
+        """Return the number of idle connections by address, for the state dump."""
         return {address: len(idle) for address, idle in self._idle_by_address.items()}
 
     def _usable(self, client: ClientExchange) -> bool:
--- a/bitterntiller/components/links/connection.py
+++ b/bitterntiller/components/links/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a peer: a queue of frames out, calls that await replies."""
+"""A connection to a peer, with a send queue and pending calls."""
 
 import itertools
 from collections import deque
@@ -23,7 +23,7 @@
 
 
 class _PendingCall:
-    """A call whose reply is awaited."""
+    """A call that waits for its reply."""
 
     def __init__(self) -> None:
         self.done = curio.Event()
@@ -31,7 +31,7 @@
 
 
 class Connection:
-    """Sends and receives frames over a socket whose handshake is done."""
+    """Sends and receives frames over a socket after the handshake."""
 
     def __init__(
         self,
@@ -53,15 +53,15 @@
         self._wake = curio.Event()
         self._sent = False
         self._received = False
-        self._unanswered = curio.Event()
+        self._send_pending = curio.Event()
 
     def send(self, message: Any, call: int = 0, reply: bool = False) -> bool:
-        """Queue a frame without waiting; False when it will not leave."""
+        """Queue a frame without waiting; return False if it will not be sent."""
         if not self.open:
             return False
         data = pack(message, call, reply)
-        # A peer that reads too slowly would otherwise fill this host's memory;
-        # it shows as a growing queue, and its messages are all repeatable.
+        # A peer that reads too slowly would otherwise fill this host's memory. Dropping
+        # a message is safe, since all messages can be repeated.
         if self._queued_bytes + len(data) > const.MAX_QUEUED_BYTES:
             self._metrics.count(const.METRIC_QUEUE_FULL)
             return False
@@ -71,13 +71,13 @@
         return True
 
     async def async_flush_soon(self) -> None:
-        """Wake the writer after send(), and the watch that it may be asleep."""
+        """Wake the writer after send(), and the liveness check if it is paused."""
         await self._wake.set()
-        if not self._unanswered.is_set():
-            await self._unanswered.set()
+        if not self._send_pending.is_set():
+            await self._send_pending.set()
 
     async def async_call(self, message: Any, timeout: float) -> Any:
-        """Send and return the reply; raise LinkError."""
+        """Send a message and return its reply; raise LinkError."""
         number = next(self._numbers)
         pending = _PendingCall()
         self._calls_by_number[number] = pending
@@ -99,34 +99,34 @@
         return pending.reply
 
     async def async_run(self) -> None:
-        """Read and write until the connection ends; then fail what is pending."""
+        """Read and write until the connection ends, then fail all pending calls."""
         try:
             async with curio.TaskGroup(wait=any) as group:
                 await group.spawn(self._async_write)
                 await group.spawn(self._async_read)
-                await group.spawn(self._async_watch)
+                await group.spawn(self._async_check_liveness)
         finally:
             self.open = False
             await self._sock.close()
             for pending in list(self._calls_by_number.values()):
                 await pending.done.set()
 
-    async def _async_watch(self) -> None:
-        """Return when the connection has gone silent for good.
+    async def _async_check_liveness(self) -> None:
+        """Return once the peer has not responded for MAX_SILENT_PERIODS.
 
-        Some connections lose all that is sent on them while new ones work. Nothing
-        resets them, and the kernel notices by its own timeouts only, after seconds in
-        which no message reaches the peer. While nothing is sent nothing is looked at:
-        a host of control has a connection to every other host, most of them quiet.
+        A connection can lose all its packets without a reset while new connections
+        work. The kernel detects that only after seconds of its own timeouts, in which
+        no message reaches the peer. The check is paused while nothing is sent, since a
+        control host has a connection to every other host and most of them are idle.
         """
         silent = 0
-        while silent < const.SILENT_PERIODS:
+        while silent < const.MAX_SILENT_PERIODS:
             if not self._sent:
-                self._unanswered.clear()
-                await self._unanswered.wait()
-            await curio.sleep(const.WATCH_PERIOD)
-            heard, self._received = self._received, False
-            if heard or not self._sent:
+                self._send_pending.clear()
+                await self._send_pending.wait()
+            await curio.sleep(const.LIVENESS_CHECK_PERIOD)
+            received, self._received = self._received, False
+            if received or not self._sent:
                 silent = 0
                 continue
             silent += 1
@@ -160,15 +160,15 @@
                 self._sent = False
                 self._metrics.count(const.METRIC_RECEIVED_BYTES, len(data))
                 for frame in buffer.feed(data):
-                    await self._async_take(unpack(frame))
+                    await self._async_on_frame(unpack(frame))
         except OSError:
             return
         except MalformedMessageError:
-            # A peer of another version or a damaged stream: nothing after this
-            # point can be trusted, so the connection is given up and dialled anew.
+            # The peer has another version or the stream is damaged. The rest can't be
+            # trusted, so the connection is closed and opened again.
             self._metrics.count(const.METRIC_MALFORMED)
 
-    async def _async_take(self, incoming: Incoming) -> None:
+    async def _async_on_frame(self, incoming: Incoming) -> None:
         if isinstance(incoming.message, messages.LinkPong):
             return
         if isinstance(incoming.message, messages.LinkPing):
--- a/bitterntiller/components/logs/sample.py
+++ b/bitterntiller/components/logs/sample.py
@@ -1,4 +1,4 @@
-"""Which requests are told where there are too many to tell all of them."""
+"""Sampling of the requests to log if there are too many."""
 
 import xxhash
 
@@ -8,46 +8,49 @@
 
 
 class RequestSample:
-    """A part of all requests, halved until the lines about them are few enough.
+    """A sample of the requests, halved until its log lines are within the limit.
 
-    Each host chooses its part by its own lines, and whether a request is in a part
-    follows from its id alone. So the requests of a smaller part are in each larger one,
-    and what the busiest host tells is told by all: their stories are whole.
+    Each host sets its fraction by its own number of lines, and whether a request is in
+    a fraction depends only on its id. A smaller sample is therefore contained in each
+    larger one, and a request that the busiest host logs is logged by all hosts.
     """
 
     def __init__(self, now: float) -> None:
         self._halvings = 0
         self._offered = 0
-        self._counted_from = now
+        self._counting_since = now
         self.left_out = 0
 
     @property
-    def part(self) -> float:
-        """Return the part of the requests that is told."""
+    def fraction(self) -> float:
+        """The fraction of the requests that is logged."""
         return 0.5**self._halvings
 
-    def takes(self, request_id: str) -> bool:
-        """Count one line about a request; tell whether it is to be written."""
+    def includes(self, request_id: str) -> bool:
+        """Count a line about a request; return whether to write it."""
         self._offered += 1
         number = xxhash.xxh3_64_intdigest(request_id.encode("utf-8", "surrogatepass"))
-        taken = number < self.part * _HASHES
-        self.left_out += not taken
-        return taken
+        included = number < self.fraction * _HASHES
+        self.left_out += not included
+        return included
 
     def adapt(self, now: float) -> bool:
-        """Choose the part for the next lines; tell whether it has changed.
+        """Set the fraction for the next lines; return whether it changed.
 
-        The part grows again only where there is room for twice as many lines, so that
-        it doesn't change each second.
+        The fraction is doubled only if the lines would then be at most half of the
+        limit, so that it does not change every second.
         """
-        if now - self._counted_from < const.SAMPLE_SECONDS:
+        if now - self._counting_since < const.SAMPLE_SECONDS:
             return False
-        a_second = self._offered / (now - self._counted_from)
-        self._counted_from, self._offered = now, 0
+        lines_per_second = self._offered / (now - self._counting_since)
+        self._counting_since, self._offered = now, 0
         before = self._halvings
-        most = const.REQUEST_LINES_PER_SECOND
-        while a_second * self.part > most and self._halvings < const.MOST_HALVINGS:
+        limit = const.REQUEST_LINES_PER_SECOND
+        while (
+            lines_per_second * self.fraction > limit
+            and self._halvings < const.MAX_HALVINGS
+        ):
             self._halvings += 1
-        while self._halvings and a_second * self.part * 4 <= most:
+        while self._halvings and lines_per_second * self.fraction * 4 <= limit:
             self._halvings -= 1
         return self._halvings != before
--- a/bitterntiller/components/operator/responses.py
+++ b/bitterntiller/components/operator/responses.py
@@ -1,4 +1,4 @@
-"""Puts the replies of control into HTTP responses."""
+"""Converts replies of control into HTTP responses."""
 
 import json
 import re
@@ -32,19 +32,19 @@
 def json_response(
     status: int, value: Mapping[str, Any], headers: Headers | None = None
 ) -> HttpResponse:
-    """Return a response with a JSON body; what JSON lacks is shown as a string."""
+    """Return a response with a JSON body; values unknown to JSON become strings."""
     body = json.dumps(value, default=str).encode() + b"\n"
     content_type = (const.HEADER_CONTENT_TYPE, b"application/json")
     return HttpResponse(status, [content_type, *(headers or [])], body)
 
 
 def problem_response(status: int, name: str, text: str) -> HttpResponse:
-    """Return a response that says in text why nothing was done."""
+    """Return a response whose text is the reason why nothing was done."""
     return json_response(status, {"status": name, "text": text})
 
 
-def unavailable() -> HttpResponse:
-    """Return the response to a reading that no leader answered."""
+def unavailable_response() -> HttpResponse:
+    """Return the response to a read without a reply from a leader."""
     value = {
         "status": const.STATUS_UNAVAILABLE,
         "text": "no leader of control answered",
@@ -52,8 +52,8 @@
     return json_response(503, value, _retry_after())
 
 
-def unknown(advice: str) -> HttpResponse:
-    """Return the response to a change of which no outcome was heard."""
+def unknown_outcome_response(advice: str) -> HttpResponse:
+    """Return the response to a change whose outcome is unknown."""
     value = {"status": const.STATUS_UNKNOWN, "text": _UNKNOWN_TEXT + advice}
     return json_response(503, value, _retry_after())
 
@@ -65,7 +65,7 @@
 def config_response(reply: Any) -> HttpResponse:
     """Return the response for a messages.ConfigReply, or None."""
     if reply is None or reply.status != const.STATUS_OK:
-        return unavailable()
+        return unavailable_response()
     value = {"version": reply.version, "config": json.loads(reply.config or b"{}")}
     etag = (const.HEADER_ETAG, f'"{reply.version}"'.encode())
     return json_response(200, value, [etag])
@@ -75,7 +75,9 @@
     """Return the response for a messages.ChangeReply, or None."""
     status = None if reply is None else _HTTP_STATUS_BY_CHANGE.get(reply.status)
     if status is None:
-        return unknown("resend the change with the same id and base version")
+        return unknown_outcome_response(
+            "resend the change with the same id and base version"
+        )
     value: dict[str, Any] = {"status": reply.status, "version": reply.version}
     if reply.status == const.STATUS_INVALID:
         value["problems"] = split_problems(reply.text)
@@ -85,7 +87,7 @@
 
 
 def split_problems(text: str) -> list[dict[str, str]]:
-    """Return the key and the text of each problem in control's text."""
+    """Return the key and text of each problem in the text of control's reply."""
     problems = []
     for line in _ERROR_CODE.sub("", text).splitlines():
         found = _KEY_AND_TEXT.fullmatch(line)
@@ -97,7 +99,7 @@
 def rollouts_response(reply: Any) -> HttpResponse:
     """Return the response that shows rollouts, for a messages.RolloutReply or None."""
     if reply is None or reply.status != const.STATUS_OK:
-        return unavailable()
+        return unavailable_response()
     return json_response(200, json.loads(reply.document))
 
 
@@ -105,7 +107,7 @@
     """Return the response to an order, for a messages.RolloutReply or None."""
     status = None if reply is None else _HTTP_STATUS_BY_ROLLOUT.get(reply.status)
     if status is None:
-        return unknown("send the same order again")
+        return unknown_outcome_response("send the same order again")
     value: dict[str, Any] = {"status": reply.status}
     if reply.phase is not None:
         value |= {"to": reply.to, "phase": reply.phase, "number": reply.number}
@@ -117,7 +119,7 @@
 def control_response(reply: Any) -> HttpResponse:
     """Return the response for a messages.ControlStatusReply, or None."""
     if reply is None or reply.status != const.STATUS_OK:
-        return unavailable()
+        return unavailable_response()
     value = {
         "status": reply.status,
         "leader": reply.leader,
@@ -129,9 +131,9 @@
 def repair_response(reply: Any) -> HttpResponse:
     """Return the response for a messages.RepairReply, or None.
 
-    The order names the same exchange each time, so that it can be repeated.
+    The request is idempotent: repeating it refers to the same replacement.
     """
     status = None if reply is None else _HTTP_STATUS_BY_REPAIR.get(reply.status)
     if status is None:
-        return unknown("repeat it: the answer tells how far it is")
+        return unknown_outcome_response("repeat it: the answer tells how far it is")
     return json_response(status, {"status": reply.status, "text": reply.text})
--- a/bitterntiller/components/orders/coordinator.py
+++ b/bitterntiller/components/orders/coordinator.py
@@ -1,4 +1,4 @@
-"""Gives orders to the upstreams of the pools that this process owns."""
+"""Issues orders to the upstreams of the pools that this process owns."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, NamedTuple
@@ -8,19 +8,19 @@
 
 from bitterntiller.components.config.models import Service
 from bitterntiller.components.orders import const
+from bitterntiller.components.orders.claims import OrderClaims
 from bitterntiller.components.orders.desired_orders import order_seconds, wants_orders
 from bitterntiller.components.orders.diagnostics import describe
-from bitterntiller.components.orders.intent import OrderIntents
-from bitterntiller.components.orders.models import Order, OrderAnswer, OrderedUpstream
+from bitterntiller.components.orders.models import Order, OrderedUpstream, OrderOutcome
 from bitterntiller.components.orders.pool import PoolOrders
 from bitterntiller.core.interfaces import ConfigView, DirectoryView, Lease
 from bitterntiller.core.runtime import Runtime
 
-SendOrder = Callable[[Order, Callable[[], bool], float], Awaitable[OrderAnswer]]
+SendOrder = Callable[[Order, Callable[[], bool], float], Awaitable[OrderOutcome]]
 
 
 class NodeViews(NamedTuple):
-    """What the process knows from control."""
+    """The state that this process receives from control."""
 
     lease: Lease
     config: ConfigView
@@ -28,23 +28,27 @@
 
 
 class OrdersCoordinator:
-    """Issues orders under the epoch of each owned pool."""
+    """Issues orders, fenced by the epoch of each owned pool."""
 
     def __init__(
-        self, runtime: Runtime, views: NodeViews, intents: OrderIntents, send: SendOrder
+        self,
+        runtime: Runtime,
+        views: NodeViews,
+        order_claims: OrderClaims,
+        send: SendOrder,
     ) -> None:
         self._host = runtime.settings.host
         self._clock = runtime.clock
         self._metrics = runtime.metrics
         self._views = views
-        self._intents = intents
+        self._claims = order_claims
         self._send = send
         self._upstreams_by_pool: dict[str, dict[str, OrderedUpstream]] = {}
         self._tasks: set[curio.Task] = set()
         self.orders_by_pool: dict[str, PoolOrders] = {}
 
-    def note_announcement(self, announce: Any) -> None:
-        """Take an accepted messages.Announce of an owned pool; never awaits."""
+    def record_announcement(self, announce: Any) -> None:
+        """Record an accepted messages.Announce of an owned pool; never awaits."""
         upstreams = self._upstreams_by_pool.setdefault(announce.pool, {})
         upstreams[announce.name] = OrderedUpstream(
             name=announce.name,
@@ -52,11 +56,11 @@
             incarnation=announce.incarnation,
             leaving=announce.state == "leaving",
             labels=dict(announce.labels),
-            heard=self._clock.now(),
+            last_announced_at=self._clock.now(),
         )
 
     async def async_run(self) -> None:
-        """Give the orders that are due, until cancelled."""
+        """Issue the orders that are due, until cancelled."""
         try:
             while True:
                 await self.async_issue()
@@ -66,22 +70,22 @@
                 await task.cancel()
 
     async def async_issue(self) -> None:
-        """Start the sending of all orders that are due now."""
+        """Start sending all orders that are due now."""
         config = self._views.config.config
         services = config.services_by_name if config is not None else {}
         for pool in self.orders_by_pool.keys() - services.keys():
             del self.orders_by_pool[pool]
             self._upstreams_by_pool.pop(pool, None)
         for service in services.values():
-            orders = self._follow(service)
+            orders = self._update_orders(service)
             if orders is None:
                 continue
             upstreams = self._upstreams_by_pool.get(service.name, {})
             for order in orders.due(service, upstreams, self._clock.now()):
                 await self._async_start(service, orders, order)
 
-    def _follow(self, service: Service) -> PoolOrders | None:
-        """Return the orders of an owned pool, anew for each epoch."""
+    def _update_orders(self, service: Service) -> PoolOrders | None:
+        """Return the orders of an owned pool, fresh for each epoch, or None."""
         epoch = self._epoch(service.name)
         orders = self.orders_by_pool.get(service.name)
         if epoch is None:
@@ -105,43 +109,43 @@
         self, service: Service, orders: PoolOrders, order: Order
     ) -> None:
         task = await curio.spawn(
-            self._async_carry_out, service, orders, order, daemon=True
+            self._async_execute, service, orders, order, daemon=True
         )
         self._tasks.add(task)
 
-    async def _async_carry_out(
+    async def _async_execute(
         self, service: Service, orders: PoolOrders, order: Order
     ) -> None:
         try:
-            answer = await self._async_give(service, order)
+            outcome = await self._async_send(service, order)
         except Exception:
-            # Unnoted, the order would count as being sent, and keep its upstream
-            # and its room for loads, until the pool changes hands.
+            # Without an outcome the order would count as being sent, and block its
+            # upstream and a slot for loads until the pool changes owners.
             logging.exception("order %s to %s failed", order.kind, order.upstream)
-            answer = OrderAnswer(const.STATE_UNKNOWN, "an error of this process")
-        orders.note(order, answer)
-        self._metrics.count(f"orders.{order.kind}.{answer.state}")
+            outcome = OrderOutcome(const.STATE_UNKNOWN, "an error of this process")
+        orders.record_outcome(order, outcome)
+        self._metrics.count(f"orders.{order.kind}.{outcome.state}")
         logging.info(
             "order %s %s to %s: %s %s",
             order.kind,
             order.argument,
             order.upstream,
-            answer.state,
-            answer.text,
+            outcome.state,
+            outcome.text,
         )
         self._tasks.discard(await curio.current_task())
 
-    async def _async_give(self, service: Service, order: Order) -> OrderAnswer:
+    async def _async_send(self, service: Service, order: Order) -> OrderOutcome:
         def may_send() -> bool:
             return self._epoch(service.name) == order.fence
 
-        known = await self._intents.async_begin(order)
+        known = await self._claims.async_begin(order)
         if known is not None:
             return known
-        answer = await self._send(order, may_send, order_seconds(service))
-        await self._intents.async_end(order, answer)
-        return answer
+        outcome = await self._send(order, may_send, order_seconds(service))
+        await self._claims.async_end(order, outcome)
+        return outcome
 
     def describe(self) -> dict[str, Any]:
-        """Return this part's share of the dump."""
+        """Return the section of orders in the state dump."""
         return describe(self.orders_by_pool)
--- a/bitterntiller/components/replication/coordinator.py
+++ b/bitterntiller/components/replication/coordinator.py
@@ -1,4 +1,4 @@
-"""Drives a replica: its time, its disk, its messages and its callers."""
+"""Runs a replica: its timers, disk writes, messages and callers."""
 
 import random
 from collections.abc import Mapping
@@ -26,7 +26,7 @@
 from .members import find
 from .models import Effects, Entry, ReturnCheck, Tuning
 from .outbox import Outbox
-from .repairs import Repairs
+from .repairer import Repairer
 from .state import Role
 from .storage import Storage
 from .waiters import Waiters
@@ -34,14 +34,15 @@
 from .writer import LogWriter
 
 TICK = 0.03
-HAND_OVER_PERIOD = 0.1
-"""Seconds between two calls to lead; one takes some messages and two syncs."""
+TRANSFER_RETRY_PERIOD = 0.1
+"""Seconds between attempts to transfer leadership; one takes some messages and two
+syncs."""
 
 SNAPSHOT_BYTES = DEFAULT_SNAPSHOT_BYTES
 
 
 class ReplicationCoordinator:
-    """A ReplicatedLog whose replica is on this host."""
+    """ReplicatedLog backed by the replica on this host."""
 
     def __init__(
         self, runtime: Runtime, machine: StateMachine, storage: Storage
@@ -58,7 +59,7 @@
         self._writer = LogWriter(
             runtime, storage, lambda: self._replica, self._wake.set
         )
-        self._repairs = Repairs(
+        self._repairer = Repairer(
             runtime.clock,
             lambda: self._replica,
             self,
@@ -68,9 +69,9 @@
         self._applied = 0
         self._applied_bytes = 0
         self._snapshot_bytes = 0
-        self._led = False
-        self._returned = False
-        self._asked_from_by_host: dict[str, str] = {}
+        self._was_leader = False
+        self._startup_check_done = False
+        self._reply_address_by_host: dict[str, str] = {}
         self._leader_known = curio.Event()
         self._initial = machine.snapshot()
         self.failure: BrokenInvariantError | None = None
@@ -81,34 +82,34 @@
         return Replica(self._storage.restored, self._tuning, self._rng, now)
 
     async def async_start(self) -> None:
-        """Take messages and let time pass until the process unloads."""
+        """Start processing messages and timers until the process unloads."""
         links, stack = self._runtime.links, self._runtime.stack
         for cls in WIRE_TYPES:
             stack.callback(links.handle(cls, self._async_receive))
         stack.callback(links.handle(messages.Join, self._joiner.async_on_join))
-        stack.callback(links.handle(messages.Repair, self._repairs.async_on_repair))
+        stack.callback(links.handle(messages.Repair, self._repairer.async_on_repair))
         tasks = (self._writer.async_run, self._async_run, self._async_tick)
         for run in (*tasks, self._joiner.async_run):
             await self._runtime.async_spawn(self._async_guarded(run))
 
     async def async_propose(self, command: bytes, timeout: float) -> ProposalResult:
         """Append a command and wait until it is committed and applied."""
-        place = None if self.failure else self._replica.propose(command)
-        if place is None:
+        position = None if self.failure else self._replica.propose(command)
+        if position is None:
             return ProposalResult(STATUS_NOT_LEADER, b"", self.leader())
-        proposal = self._waiters.add_proposal(place)
+        proposal = self._waiters.add_proposal(position)
         await self._wake.set()
         async with curio.ignore_after(timeout):
             await proposal.done.wait()
-        self._waiters.drop_proposal(place, proposal)
+        self._waiters.drop_proposal(position, proposal)
         if proposal.result is None:
             return ProposalResult(STATUS_UNKNOWN, b"", self.leader())
         return proposal.result._replace(leader=self.leader())
 
     async def async_confirm(self, timeout: float) -> int | None:
-        """Return a read index confirmed by a quorum, once it is applied."""
+        """Return a read index confirmed by a quorum once it is applied, else None."""
         token = self._waiters.new_token()
-        if self.failure or not self._replica.ask_read(token):
+        if self.failure or not self._replica.request_read_index(token):
             return None
         read = self._waiters.add_read(token)
         await self._wake.set()
@@ -118,43 +119,43 @@
         self._waiters.drop_read(token, read)
         return None
 
-    async def async_hand_over(self, timeout: float) -> bool:
-        """Have another replica lead before this one stops; False if none has in time.
+    async def async_transfer_leadership(self, timeout: float) -> bool:
+        """Transfer leadership before this replica stops; return False if that fails.
 
-        A replica that doesn't lead has nothing to hand over.
+        Return True at once if this replica is not the leader.
         """
         async with curio.ignore_after(timeout):
             while self.is_leader():
-                if not self._replica.hand_over(self._runtime.clock.now()):
+                if not self._replica.transfer_leadership(self._runtime.clock.now()):
                     return False
                 await self._wake.set()
-                await curio.sleep(HAND_OVER_PERIOD)
+                await curio.sleep(TRANSFER_RETRY_PERIOD)
         return not self.is_leader()
 
     def is_leader(self) -> bool:
-        """Tell whether this replica leads, as far as it knows."""
+        """Return whether this replica is the leader, as far as it knows."""
         return self._replica.state.role is Role.LEADER and self.failure is None
 
     def leader(self) -> str:
-        """Return the internal address of the leader, empty when not known."""
+        """Return the internal address of the leader, empty if unknown."""
         state = self._replica.state
         member = find(state.members, state.leader)
         return member.address if member else ""
 
-    async def async_leader_known(self, timeout: float) -> None:
-        """Return once a leader is known here, or after timeout seconds."""
+    async def async_wait_for_leader(self, timeout: float) -> None:
+        """Wait until a leader is known here, for up to timeout seconds."""
         async with curio.ignore_after(timeout):
             await self._leader_known.wait()
 
     def status(self) -> Mapping[str, Any]:
-        """Return term, leader, members, indexes and lags, for the dump."""
+        """Return term, leader, members, indexes and lags for the state dump."""
         now = self._runtime.clock.now()
         described = describe(self._replica.state, self._applied, now)
         described["failure"] = str(self.failure or "")
         return described
 
     async def _async_guarded(self, run: Any) -> None:
-        """Run a task; a broken invariant stops the replica, not just the task."""
+        """Run a task; on a broken invariant, stop the whole replica."""
         try:
             await run()
         except BrokenInvariantError as error:
@@ -162,8 +163,8 @@
 
     async def _async_halt(self, error: BrokenInvariantError) -> None:
         self.failure = self.failure or error
-        logging.error("the replica stops: %s", error)
-        await self._waiters.async_fail()
+        logging.error("stopping the replica: %s", error)
+        await self._waiters.async_fail_all()
         await self._runtime.async_fail(error)
 
     async def _async_receive(self, host: str, message: Any) -> None:
@@ -174,7 +175,7 @@
             self._runtime.metrics.count("replication.wrong_sender")
             return
         if isinstance(plain, ReturnCheck):
-            self._asked_from_by_host[host] = plain.address
+            self._reply_address_by_host[host] = plain.address
         try:
             self._replica.receive(plain, self._runtime.clock.now())
         except BrokenInvariantError as error:
@@ -191,17 +192,17 @@
             await self._wake.wait()
             self._wake.clear()
             now = self._runtime.clock.now()
-            self._writer.note_stall(now)
+            self._writer.check_stall(now)
             self._replica.tick(now)
-            self._repairs.step(now)
-            await self._async_carry_out(self._replica.take(now))
+            self._repairer.step(now)
+            await self._async_execute(self._replica.take_effects(now))
 
-    async def _async_carry_out(self, effects: Effects) -> None:
+    async def _async_execute(self, effects: Effects) -> None:
         if effects.retired:
             await self._async_retire(effects.retired)
             return
         if effects.persist is not None:
-            await self._writer.async_want(effects.persist)
+            await self._writer.async_request(effects.persist)
         for outgoing in effects.messages:
             await self._async_send(outgoing.to, to_wire(outgoing.message))
         if effects.restore is not None:
@@ -210,10 +211,10 @@
         for entry in effects.committed:
             await self._async_apply(entry)
         for outcome in effects.reads:
-            await self._waiters.async_read(outcome, self._applied)
-        await self._waiters.async_advance(self._applied)
-        self._note_return()
-        await self._async_note_role()
+            await self._waiters.async_resolve_read(outcome, self._applied)
+        await self._waiters.async_notify_applied(self._applied)
+        self._report_startup_check()
+        await self._async_handle_role_change()
         self._snapshot_if_due()
         if effects.committed:
             await self._wake.set()
@@ -224,39 +225,41 @@
             result = self._machine.apply(entry.index, entry.data)
         self._applied = entry.index
         self._applied_bytes += len(entry.data)
-        await self._waiters.async_applied(entry.index, entry.term, result)
+        await self._waiters.async_resolve_proposal(entry.index, entry.term, result)
 
-    def _note_return(self) -> None:
-        """Log that the other voters have answered what they remember of this one."""
-        returning = self._replica.state.returning
-        if returning.done == self._returned:
+    def _report_startup_check(self) -> None:
+        """Emit an event once the startup check is complete."""
+        startup_check = self._replica.state.startup_check
+        if startup_check.done == self._startup_check_done:
             return
-        self._returned = returning.done
-        if returning.done:
-            seconds = round(self._runtime.clock.now() - returning.began, 3)
+        self._startup_check_done = startup_check.done
+        if startup_check.done:
+            seconds = round(self._runtime.clock.now() - startup_check.started_at, 3)
             events.emit("voters-answered", after=seconds, term=self._replica.state.term)
 
-    async def _async_note_role(self) -> None:
-        """Answer those who wait at once when leadership has been lost or settled."""
+    async def _async_handle_role_change(self) -> None:
+        """Wake callers that wait for a leader; on lost leadership fail all others."""
         if not self.leader():
             self._leader_known.clear()
         elif not self._leader_known.is_set():
             await self._leader_known.set()
         leads = self._replica.state.role is Role.LEADER
-        if leads == self._led:
+        if leads == self._was_leader:
             return
-        self._led = leads
-        logging.info("term %d: leader %s", self._replica.state.term, leads)
+        self._was_leader = leads
+        logging.info(
+            "term %d: this replica is leader: %s", self._replica.state.term, leads
+        )
         if not leads:
-            self._repairs.forget()
-            await self._waiters.async_fail()
+            self._repairer.clear_commands()
+            await self._waiters.async_fail_all()
 
     def _snapshot_if_due(self) -> None:
-        """Cut the log when it has many entries, or many bytes.
+        """Take a snapshot and compact the log when it has many entries or bytes.
 
-        A command can hold a group of claims, so that a log of few entries can be
-        hundreds of megabytes, which show as a start of minutes. A large state is
-        written anew only when as much again has been applied.
+        A command can hold a group of claims, so a log of few entries can be hundreds
+        of megabytes, and loading it at a start takes minutes. A large state is written
+        again only once as many bytes as it has were applied.
         """
         snapshot = self._replica.state.snapshot
         behind = self._applied - (snapshot.index if snapshot else 0)
@@ -270,13 +273,13 @@
         self._snapshot_bytes = len(data)
 
     async def _async_retire(self, why: str) -> None:
-        """Begin anew under another identity, as a learner with an empty log."""
+        """Restart under a new identity, as a learner with an empty log."""
         logging.warning("replica %s is given up: %s", self._replica.state.replica, why)
         self._runtime.metrics.count("replication.retired")
-        await self._writer.async_retire(self._begin_anew)
-        await self._waiters.async_fail()
+        await self._writer.async_retire(self._reset_replica)
+        await self._waiters.async_fail_all()
 
-    def _begin_anew(self) -> None:
+    def _reset_replica(self) -> None:
         self._machine.restore(self._initial)
         self._applied = 0
         self._replica = self._new_replica()
@@ -289,14 +292,14 @@
     def _address_of(self, replica: str) -> str:
         state = self._replica.state
         member = find(state.members, replica)
-        if member is None and not state.returning.done:
-            member = find(state.returning.newest_members(state.members), replica)
+        if member is None and not state.startup_check.done:
+            member = find(state.startup_check.newest_membership(state.members), replica)
         if member is not None:
             return member.address
-        # An empty learner has no membership yet to find its leader in, or those who
-        # ask what it remembers.
+        # An empty learner has no membership yet in which to look up its leader or the
+        # replicas whose startup checks it replies to.
         known = self._joiner.address_by_replica.get(replica, "")
-        return known or self._asked_from_by_host.get(host_of(replica), "")
+        return known or self._reply_address_by_host.get(host_of(replica), "")
 
 
 def _tuning(runtime: Runtime) -> Tuning:
@@ -305,6 +308,6 @@
         election_min=timings.election_min,
         election_max=timings.election_max,
         heartbeat=timings.raft_heartbeat,
-        leaderless=timings.leaderless,
-        voters=runtime.settings.control.voters,
+        leaderless_timeout=timings.leaderless,
+        target_voters=runtime.settings.control.voters,
     )
--- a/bitterntiller/components/replication/core.py
+++ b/bitterntiller/components/replication/core.py
@@ -1,14 +1,14 @@
 """One replica as a pure state machine: messages and ticks in, effects out.
 
-The caller carries out what take() returns: it syncs persist and reports it by
-persisted(), sends messages, and applies committed entries. It calls take()
+The caller executes what take_effects() returns: it syncs persist and reports it with
+persisted(), sends messages, and applies committed entries. It calls take_effects()
 after each of the other calls.
 """
 
 import random
 from collections.abc import Iterable
 
-from . import election, following, leading, returning
+from . import election, following, leading, startup_check
 from .const import VOTE_BARRED, EntryKind
 from .errors import SafetyError
 from .members import encode_members
@@ -21,9 +21,9 @@
     Mark,
     Member,
     Message,
+    PersistentState,
     PreVote,
     PreVoteReply,
-    Restored,
     ReturnCheck,
     ReturnCheckReply,
     SnapshotPiece,
@@ -35,19 +35,20 @@
 )
 from .state import Role, State
 
-_TERMLESS = (PreVote, PreVoteReply, ReturnCheck, ReturnCheckReply)
-"""Messages whose term is a question or a statement, not the sender's claim."""
+_WITHOUT_TERM_CHECK = (PreVote, PreVoteReply, ReturnCheck, ReturnCheckReply)
+"""Messages whose term doesn't make the receiver adopt it: a pre-vote asks for a term
+that its sender has not entered, a startup check only reports the sender's."""
 
 
 def is_outdated(state: State, message: Message) -> bool:
-    """Tell whether a message comes from an earlier term."""
+    """Return whether a message is from an earlier term."""
     return message.term < state.term
 
 
-def is_of_earlier_start(state: State, message: Message) -> bool:
-    """Tell whether the sender has been started anew since it sent this.
+def is_from_earlier_boot(state: State, message: Message) -> bool:
+    """Return whether the sender has restarted since it sent this message.
 
-    Two processes on copies of one folder would otherwise both be heard.
+    Otherwise messages of two processes on copies of one folder would both count.
     """
     if isinstance(message, ReturnCheck):
         return False
@@ -56,16 +57,16 @@
 
 
 class Replica:
-    """A replica of the log; now is in seconds of a clock that never goes back."""
+    """A replica of the log; now is the time of a monotonic clock in seconds."""
 
     def __init__(
-        self, restored: Restored, tuning: Tuning, rng: random.Random, now: float
+        self, restored: PersistentState, tuning: Tuning, rng: random.Random, now: float
     ) -> None:
         self.state = State(restored, tuning, rng, now)
-        returning.on_tick(self.state, now)
+        startup_check.on_tick(self.state, now)
 
-    def form(self, members: Iterable[Member]) -> None:
-        """Begin a new deployment's log with its first membership."""
+    def bootstrap(self, members: Iterable[Member]) -> None:
+        """Start the log of a new deployment with its first membership."""
         state = self.state
         if state.log.last_index or state.members.index:
             return
@@ -73,45 +74,45 @@
         state.append(Entry(1, 1, EntryKind.MEMBERS, encode_members(members)))
 
     def tick(self, now: float) -> None:
-        """Let time pass; to be called several times per heartbeat."""
+        """Process timeouts; call this several times per heartbeat interval."""
         state = self.state
         if state.retired:
             return
         if state.role is Role.LEADER:
             leading.on_tick(state, now)
             return
-        returning.on_tick(state, now)
-        if now >= state.deadline:
-            election.on_deadline(state, now)
+        startup_check.on_tick(state, now)
+        if now >= state.election_deadline:
+            election.on_election_timeout(state, now)
 
     def receive(self, message: Message, now: float) -> None:
-        """Take a message of another replica."""
+        """Process a message from another replica."""
         state = self.state
-        if state.retired or is_of_earlier_start(state, message):
+        if state.retired or is_from_earlier_boot(state, message):
             return
-        if isinstance(message, _TERMLESS):
-            self._receive_termless(message, now)
+        if isinstance(message, _WITHOUT_TERM_CHECK):
+            self._receive_without_term_check(message, now)
             return
         if message.term > state.term:
-            state.follow(message.term, "", now)
+            state.become_follower(message.term, "", now)
         if is_outdated(state, message):
-            self._answer_outdated(message, now)
+            self._reply_to_outdated(message, now)
             return
         self._receive_in_term(message, now)
 
-    def _receive_termless(self, message: Message, now: float) -> None:
+    def _receive_without_term_check(self, message: Message, now: float) -> None:
         state = self.state
         match message:
             case PreVote():
                 election.on_pre_vote(state, message, now)
             case PreVoteReply():
                 if not message.granted and message.term > state.term:
-                    state.follow(message.term, "", now)
+                    state.become_follower(message.term, "", now)
                 election.on_pre_vote_reply(state, message, now)
             case ReturnCheck():
-                returning.on_check(state, message)
+                startup_check.on_check(state, message)
             case ReturnCheckReply():
-                returning.on_check_reply(state, message, now)
+                startup_check.on_check_reply(state, message, now)
 
     def _receive_in_term(self, message: Message, now: float) -> None:
         state = self.state
@@ -123,27 +124,27 @@
             case TimeoutNow():
                 election.on_timeout_now(state, now)
             case Append():
-                self._hear_leader(message.leader, now)
+                self._on_leader_message(message.leader, now)
                 following.on_append(state, message)
             case SnapshotPiece():
-                self._hear_leader(message.leader, now)
+                self._on_leader_message(message.leader, now)
                 following.on_piece(state, message)
             case AppendReply():
                 leading.on_append_reply(state, message, now)
             case SnapshotReply():
                 leading.on_snapshot_reply(state, message, now)
 
-    def _hear_leader(self, leader: str, now: float) -> None:
+    def _on_leader_message(self, leader: str, now: float) -> None:
         state = self.state
         if state.role is Role.LEADER:
             raise SafetyError(f"{leader} leads term {state.term} as this replica does")
-        state.follow(state.term, leader, now)
-        state.heard = now
-        state.met_leader = True
-        state.reset_deadline(now)
+        state.become_follower(state.term, leader, now)
+        state.last_leader_contact = now
+        state.has_met_leader = True
+        state.reset_election_timer(now)
 
-    def _answer_outdated(self, message: Message, now: float) -> None:
-        """Tell a deposed leader or a late candidate the present term."""
+    def _reply_to_outdated(self, message: Message, now: float) -> None:
+        """Reply with the current term to a deposed leader or a late candidate."""
         state = self.state
         match message:
             case Vote():
@@ -159,49 +160,49 @@
                     False,
                     state.hard.boot,
                 )
-                state.hold(message.leader, reply)
+                state.send_after_sync(message.leader, reply)
 
     def propose(self, data: bytes) -> LogPosition | None:
-        """Append a command; None when it is certainly not in the log."""
+        """Append a command; return None if it is certainly not in the log."""
         return leading.propose(self.state, data)
 
-    def ask_read(self, token: int) -> bool:
-        """Ask for a confirmed read index; False when this is no leader."""
-        return leading.ask_read(self.state, token)
+    def request_read_index(self, token: int) -> bool:
+        """Request a confirmed read index; return False if not the leader."""
+        return leading.request_read_index(self.state, token)
 
     def change_members(
         self, members: Iterable[Member], now: float
     ) -> LogPosition | None:
-        """Change the membership by one voter at most; None when refused."""
+        """Change the membership by at most one voter; return None if refused."""
         return leading.change_members(self.state, members, now)
 
     def set_stalled(self, stalled: bool, now: float) -> bool:
-        """Note whether the disk stalls; tell whether that is news.
+        """Record whether the disk is stalled; return whether this has changed.
 
-        With a stalled disk this replica neither leads nor tries to.
+        With a stalled disk this replica neither leads nor campaigns.
         """
         state = self.state
         if state.stalled == stalled:
             return False
         state.stalled = stalled
         if stalled and state.role is Role.LEADER:
-            state.follow(state.term, "", now)
+            state.become_follower(state.term, "", now)
         return True
 
-    def hand_over(self, now: float) -> str:
-        """Have another voter lead; return which, empty when none can be asked."""
-        return leading.hand_over(self.state, now)
+    def transfer_leadership(self, now: float) -> str:
+        """Transfer leadership to another voter; return it, empty if there is none."""
+        return leading.transfer_leadership(self.state, now)
 
     def snapshot_taken(self, index: int, data: bytes) -> None:
-        """Hand in the state as it was after an applied entry."""
+        """Store a snapshot of the state after an applied entry."""
         self.state.snapshot_taken(index, data)
 
     def persisted(self, number: int, now: float) -> None:
-        """Report that the records of take() with that number are synced."""
+        """Report that the write with that number is synced."""
         self.state.persisted(number)
         leading.advance_commit(self.state, now)
 
-    def take(self, now: float) -> Effects:
-        """Return what is to be done now, never the same thing twice."""
+    def take_effects(self, now: float) -> Effects:
+        """Return the effects that are due, each of them once."""
         leading.flush(self.state, now)
-        return self.state.take()
+        return self.state.take_effects()
--- a/bitterntiller/components/replication/leading.py
+++ b/bitterntiller/components/replication/leading.py
@@ -1,4 +1,4 @@
-"""The leader's side: replication, commitment, confirmed reads, membership."""
+"""Leader's side: replication, commits, confirmed reads, membership changes."""
 
 from collections.abc import Iterable
 
@@ -20,44 +20,44 @@
     TimeoutNow,
 )
 from .progress import Progress
-from .reads import Reads
+from .read_index import PendingReads
 from .state import Role, State
 
 
-def begin(state: State, now: float) -> None:
-    """Become the leader of the term.
+def become_leader(state: State, now: float) -> None:
+    """Become the leader of the current term.
 
-    The empty entry lets the entries of earlier terms be committed.
+    Entries of earlier terms are committed together with the empty entry appended here.
     """
     state.role = Role.LEADER
     state.leader = state.replica
-    state.beat = now
-    state.reads = Reads()
+    state.next_broadcast = now
+    state.pending_reads = PendingReads()
     state.progress_by_replica = {}
     state.count("terms_led")
-    state.settled = _add(state, EntryKind.NOOP, b"").index
-    state.commit_at_beat = state.commit
-    _follow_members(state, now)
+    state.caught_up_index = _append_entry(state, EntryKind.NOOP, b"").index
+    state.commit_at_heartbeat = state.commit
+    _update_tracked_followers(state, now)
     advance_commit(state, now)
 
 
 def propose(state: State, data: bytes) -> LogPosition | None:
-    """Append a command; None when this replica can't take it."""
+    """Append a command; return None if not the leader or too much is uncommitted."""
     if state.role is not Role.LEADER:
         return None
-    if state.log.last_index - state.commit >= state.tuning.uncommitted:
+    if state.log.last_index - state.commit >= state.tuning.max_uncommitted:
         state.count("proposals_refused_full")
         return None
-    return _add(state, EntryKind.COMMAND, data)
+    return _append_entry(state, EntryKind.COMMAND, data)
 
 
 def may_change_members(state: State) -> bool:
-    """Tell whether a change of the membership may begin now.
+    """Return whether a change of the membership may begin now.
 
-    The last one must be committed, so that only neighbours in the history of
-    memberships are ever in force at once; and an entry of this term must be,
-    since otherwise an uncommitted change of an earlier leader, unknown
-    here, could come back and share no quorum with the new one.
+    The last change must be committed, so that only two successive memberships are
+    ever in effect at once. An entry of this term must be committed too: otherwise an
+    earlier leader's uncommitted change, unknown here, could still take effect and
+    have quorums that don't overlap with those of the new membership.
     """
     if state.role is not Role.LEADER or state.members.index > state.commit:
         return False
@@ -67,22 +67,22 @@
 def change_members(
     state: State, new: Iterable[Member], now: float
 ) -> LogPosition | None:
-    """Append a membership that differs by one voter at most; None if refused."""
+    """Append a membership that differs by at most one voter; None if refused."""
     new = tuple(new)
     if not may_change_members(state) or not is_single_change(state.members, new):
         return None
-    place = _add(state, EntryKind.MEMBERS, encode_members(new))
-    _follow_members(state, now)
-    return place
+    position = _append_entry(state, EntryKind.MEMBERS, encode_members(new))
+    _update_tracked_followers(state, now)
+    return position
 
 
-def _add(state: State, kind: int, data: bytes) -> LogPosition:
+def _append_entry(state: State, kind: int, data: bytes) -> LogPosition:
     entry = Entry(state.log.last_index + 1, state.term, kind, data)
     state.append(entry)
     return LogPosition(entry.index, entry.term)
 
 
-def _follow_members(state: State, now: float) -> None:
+def _update_tracked_followers(state: State, now: float) -> None:
     old, last = state.progress_by_replica, state.log.last_index
     state.progress_by_replica = {
         member.replica: old.get(member.replica) or Progress(last, now)
@@ -91,20 +91,20 @@
     }
 
 
-def ask_read(state: State, token: int) -> bool:
-    """Ask for a read index; False when this replica doesn't lead."""
+def request_read_index(state: State, token: int) -> bool:
+    """Request a confirmed read index; return False if not the leader."""
     if state.role is not Role.LEADER:
         return False
     first = state.log.first_of_term_at(state.log.last_index)
-    state.reads.ask(token, max(state.commit, first))
+    state.pending_reads.add_request(token, max(state.commit, first))
     return True
 
 
 def flush(state: State, now: float) -> None:
-    """Send what has gathered: a round for reads, or new entries."""
+    """Send a heartbeat round if reads wait for one, else new entries."""
     if state.role is not Role.LEADER:
         return
-    if state.reads.begin_round():
+    if state.pending_reads.begin_round():
         sending.broadcast(state, now)
         _confirm_round(state)
         return
@@ -113,71 +113,75 @@
 
 
 def on_tick(state: State, now: float) -> None:
-    """Step down without a quorum; send heartbeats when they are due."""
-    if not hears_quorum(state, now):
-        state.follow(state.term, "", now)
+    """Step down if out of contact with a quorum; send heartbeats when due."""
+    if not is_quorum_active(state, now):
+        state.become_follower(state.term, "", now)
         return
-    if now >= state.beat:
-        state.beat = now + state.tuning.heartbeat
-        # What was committed a heartbeat ago has had the time to reach all; a
-        # follower that lags by less has caught up, however busy the log is.
-        state.settled = max(state.settled, state.commit_at_beat)
-        state.commit_at_beat = state.commit
+    if now >= state.next_broadcast:
+        state.next_broadcast = now + state.tuning.heartbeat
+        # Entries committed a heartbeat interval ago have had time to reach all
+        # followers; one that lags by less has caught up, however busy the log is.
+        state.caught_up_index = max(state.caught_up_index, state.commit_at_heartbeat)
+        state.commit_at_heartbeat = state.commit
         sending.broadcast(state, now)
 
 
-def hand_over(state: State, now: float) -> str:
-    """Send what is missing to the voter with the longest log, then its call to lead.
+def transfer_leadership(state: State, now: float) -> str:
+    """Send the voter with the longest log its missing entries, then TimeoutNow.
 
-    Return the voter; empty when this replica doesn't lead or hears no other voter.
-    Without it the others wait for an election timeout, in which no lease is renewed.
+    Return the voter; empty if this replica is not the leader or no other voter is in
+    contact. Without a transfer the other voters wait for an election timeout, during
+    which no lease is renewed.
     """
     if state.role is not Role.LEADER:
         return ""
     oldest = now - state.tuning.election_min
     ready = [
-        (progress.match, progress.contact, replica)
+        (progress.match, progress.last_contact, replica)
         for replica, progress in state.progress_by_replica.items()
         if replica in voters(state.members)
         and progress.counted
-        and progress.contact > oldest
+        and progress.last_contact > oldest
     ]
     if not ready:
         return ""
     successor = max(ready)[2]
     sending.replicate(state, successor, now)
-    state.hold(successor, TimeoutNow(state.term, state.replica, state.hard.boot))
+    state.send_after_sync(
+        successor, TimeoutNow(state.term, state.replica, state.hard.boot)
+    )
     state.count("hand_overs")
     return successor
 
 
-def hears_quorum(state: State, now: float) -> bool:
-    """Tell whether a quorum has been heard within an election timeout."""
+def is_quorum_active(state: State, now: float) -> bool:
+    """Return whether a quorum has been in contact within an election timeout."""
     oldest = now - state.tuning.election_max
-    heard = [
-        replica == state.replica or state.progress_by_replica[replica].contact > oldest
+    active = [
+        replica == state.replica
+        or state.progress_by_replica[replica].last_contact > oldest
         for replica in voters(state.members)
     ]
-    return sum(heard) >= quorum(state.members)
+    return sum(active) >= quorum(state.members)
 
 
 def on_append_reply(state: State, message: AppendReply, now: float) -> None:
-    """Note what a follower holds, commit, and go on sending."""
-    progress = _heard(state, message.follower, message, now)
+    """Update the follower's progress and advance the commit index."""
+    progress = _record_contact(state, message.follower, message, now)
     if progress is None:
         return
     if not message.matched:
         progress.rejected(message.hint_index)
         return
     progress.acknowledged(message.match_index)
-    _note_promise(state, message, message.match_index)
+    _update_mark(state, message, message.match_index)
     advance_commit(state, now)
 
 
 def on_snapshot_reply(state: State, message: SnapshotReply, now: float) -> None:
-    """Send the next piece, or go on with entries after the last."""
+    """Send the next piece, or resume with entries once the snapshot is installed."""
     replica = message.follower
-    progress = _heard(state, replica, message, now)
+    progress = _record_contact(state, replica, message, now)
     if progress is None or progress.snapshot is None:
         return
     if message.last_index != progress.snapshot.index:
@@ -185,7 +189,7 @@
     if message.done:
         progress.snapshot = None
         progress.acknowledged(message.last_index)
-        _note_promise(state, message, message.last_index)
+        _update_mark(state, message, message.last_index)
         advance_commit(state, now)
         return
     if message.offset != progress.snapshot_offset:
@@ -193,13 +197,13 @@
         sending.send_piece(state, replica)
 
 
-def _heard(
+def _record_contact(
     state: State, replica: str, message: AppendReply | SnapshotReply, now: float
 ) -> Progress | None:
     progress = state.progress_by_replica.get(replica)
     if state.role is not Role.LEADER or message.term != state.term or progress is None:
         return None
-    progress.contact = now
+    progress.last_contact = now
     progress.counted = message.counted
     if message.counted:
         progress.round = max(progress.round, message.round)
@@ -207,42 +211,42 @@
     return progress
 
 
-def _note_promise(state: State, reply: AppendReply | SnapshotReply, index: int) -> None:
+def _update_mark(state: State, reply: AppendReply | SnapshotReply, index: int) -> None:
     mark = state.marks_by_replica.get(reply.follower, Mark())
     if (state.term, index) > (mark.term, mark.index):
-        state.note_mark(reply.follower, Mark(reply.boot, state.term, index))
+        state.record_mark(reply.follower, Mark(reply.boot, state.term, index))
 
 
 def may_commit(state: State, index: int) -> bool:
-    """Tell whether counting replicas may commit an entry.
+    """Return whether an entry may be committed by counting replicas.
 
-    One of an earlier term may be on a quorum and still be replaced by a later
-    leader that lacks it, so only entries of this term are counted.
+    An entry of an earlier term can be on a quorum and still be replaced by a later
+    leader that lacks it, so only entries of the current term are counted.
     """
     return state.log.term_at(index) == state.term
 
 
 def advance_commit(state: State, now: float) -> None:
-    """Commit what a quorum has synced, this replica included."""
+    """Commit the entries that a quorum, including this replica, has synced."""
     if state.role is not Role.LEADER:
         return
-    index = _held_by_quorum(
+    index = _highest_at_quorum(
         state, state.stable, {r: p.match for r, p in state.progress_by_replica.items()}
     )
     if index <= state.commit or not may_commit(state, index):
         return
     state.commit = index
     if state.members.index <= state.commit and not state.is_voter():
-        state.follow(state.term, "", now)
+        state.become_follower(state.term, "", now)
 
 
 def _confirm_round(state: State) -> None:
     rounds = {r: p.round for r, p in state.progress_by_replica.items()}
-    confirmed = _held_by_quorum(state, state.reads.round, rounds)
-    state.read_outcomes += state.reads.confirmed(confirmed)
+    confirmed = _highest_at_quorum(state, state.pending_reads.round, rounds)
+    state.read_outcomes += state.pending_reads.resolve(confirmed)
 
 
-def _held_by_quorum(state: State, own: int, value_by_replica: dict[str, int]) -> int:
+def _highest_at_quorum(state: State, own: int, value_by_replica: dict[str, int]) -> int:
     """Return the highest value that a quorum of the voters has reached."""
     values = []
     for replica in voters(state.members):
--- a/bitterntiller/components/replication/records.py
+++ b/bitterntiller/components/replication/records.py
@@ -1,29 +1,31 @@
-"""The records of one synced write: their bytes, and replaying them."""
+"""Records of one synced write: their encoding, and replaying them."""
 
 from typing import Any
 
 from bitterntiller.protocol import decode, encode, messages
 
 from .members import decode_members, encode_members
-from .models import Entry, HardState, Mark, Persist, Restored, Snapshot
+from .models import Entry, HardState, Mark, Persist, PersistentState, Snapshot
 
 
 def encode_batch(persist: Persist) -> bytes:
-    """Return the bytes of all records but the snapshot."""
+    """Encode all records except the snapshot."""
     hard, marks = persist.hard, persist.marks_by_replica
     batch = messages.LogBatch(
         term=hard.term if hard else None,
         vote=hard.vote if hard else None,
         boot=hard.boot if hard else None,
-        marks=None if marks is None else [_wire_mark(*item) for item in marks.items()],
+        marks=None
+        if marks is None
+        else [_mark_to_wire(*item) for item in marks.items()],
         truncate_from=persist.truncate_from,
-        entries=wire_entries(persist.entries),
+        entries=entries_to_wire(persist.entries),
     )
     return encode(batch)
 
 
 def decode_batch(data: bytes) -> Persist:
-    """Return the records; raise MalformedMessageError for other bytes."""
+    """Decode records; raise MalformedMessageError if data is malformed."""
     batch = decode(messages.LogBatch, data)
     hard = None
     if batch.term is not None:
@@ -31,12 +33,12 @@
     marks = None
     if batch.marks is not None:
         marks = {m.replica: Mark(m.boot, m.term, m.index) for m in batch.marks}
-    entries = plain_entries(batch.entries or ())
+    entries = entries_from_wire(batch.entries or ())
     return Persist(0, hard, marks, batch.truncate_from, entries, None)
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """Return the bytes of a snapshot."""
+    """Encode a snapshot."""
     members = snapshot.members
     return encode(
         messages.SnapshotFile(
@@ -50,30 +52,30 @@
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """Return the snapshot; raise MalformedMessageError for other bytes."""
+    """Decode a snapshot; raise MalformedMessageError if data is malformed."""
     file = decode(messages.SnapshotFile, data)
     members = decode_members(file.members_index, file.members)
     return Snapshot(file.index, file.term, members, file.data)
 
 
-def wire_entries(entries: tuple[Entry, ...]) -> list[Any]:
-    """Return entries as Thrift structures."""
+def entries_to_wire(entries: tuple[Entry, ...]) -> list[Any]:
+    """Convert entries to Thrift structures."""
     return [messages.Entry(*entry) for entry in entries]
 
 
-def plain_entries(entries: list[Any]) -> tuple[Entry, ...]:
-    """Return Thrift structures as entries."""
+def entries_from_wire(entries: list[Any]) -> tuple[Entry, ...]:
+    """Convert Thrift structures to entries."""
     return tuple(Entry(e.index, e.term, e.kind, e.data) for e in entries)
 
 
-def _wire_mark(replica: str, mark: Mark) -> Any:
+def _mark_to_wire(replica: str, mark: Mark) -> Any:
     return messages.Mark(replica, *mark)
 
 
 class Replay:
-    """What a data folder holds after the writes applied so far."""
+    """State of a data folder after the writes replayed so far."""
 
-    def __init__(self, start: Restored) -> None:
+    def __init__(self, start: PersistentState) -> None:
         self._replica = start.replica
         self._hard = start.hard
         self._marks = start.marks_by_replica
@@ -81,7 +83,7 @@
         self._entries = list(start.entries)
 
     def apply(self, persist: Persist) -> None:
-        """Apply the records of one write in their order."""
+        """Apply the records of one write in order."""
         if persist.hard is not None:
             self._hard = persist.hard
         if persist.marks_by_replica is not None:
@@ -97,21 +99,21 @@
         if self._entries:
             del self._entries[max(index - self._entries[0].index, 0) :]
 
-    def restored(self) -> Restored:
-        """Return the outcome, with the entries behind the snapshot only."""
+    def restored(self) -> PersistentState:
+        """Return the resulting state, with only the entries after the snapshot."""
         snapshot, entries = self._snapshot, self._entries
         if snapshot is not None:
-            entries = _behind(snapshot, entries)
-        return Restored(
+            entries = _after_snapshot(snapshot, entries)
+        return PersistentState(
             self._replica, self._hard, dict(self._marks), snapshot, tuple(entries)
         )
 
 
-def _behind(snapshot: Snapshot, entries: list[Entry]) -> list[Entry]:
-    """Return the entries that continue the snapshot.
+def _after_snapshot(snapshot: Snapshot, entries: list[Entry]) -> list[Entry]:
+    """Return the entries that follow the snapshot.
 
-    After a crash between the writing of a snapshot and of the new log, the old
-    log may hold entries that contradict the snapshot; those are uncommitted.
+    After a crash between writing a snapshot and writing the new log, the old log may
+    hold entries that conflict with the snapshot; these are uncommitted.
     """
     if entries and entries[0].index == snapshot.index + 1:
         return entries
--- a/bitterntiller/components/replication/sending.py
+++ b/bitterntiller/components/replication/sending.py
@@ -1,4 +1,4 @@
-"""What a leader sends to its followers: entries, heartbeats, snapshots."""
+"""Messages from a leader to its followers: entries, heartbeats and snapshots."""
 
 from .members import encode_members
 from .models import Append, Entry, SnapshotPiece
@@ -6,7 +6,7 @@
 
 
 def broadcast(state: State, now: float) -> None:
-    """Send each follower something, entries if flow control lets them."""
+    """Send each follower entries if flow control allows, else a heartbeat."""
     for replica, progress in state.progress_by_replica.items():
         progress.waiting = False
         if not replicate(state, replica, now):
@@ -14,12 +14,12 @@
 
 
 def replicate(state: State, replica: str, now: float) -> bool:
-    """Send entries as far as flow control lets; tell whether any left."""
+    """Send entries as far as flow control allows; return whether any were sent."""
     tuning, progress, sent = state.tuning, state.progress_by_replica[replica], False
-    if progress.contact < now - tuning.election_max:
+    if progress.last_contact < now - tuning.election_max:
         return False
     while progress.next <= state.log.last_index:
-        if not progress.may_send(tuning.in_flight):
+        if not progress.may_send(tuning.max_in_flight):
             break
         if progress.next <= state.log.base_index:
             return _begin_snapshot(state, replica)
@@ -51,7 +51,7 @@
         state.log.term_at(prev) or 0,
         entries,
         state.commit,
-        state.reads.round,
+        state.pending_reads.round,
         state.hard.boot,
     )
     state.send(replica, message)
@@ -67,7 +67,7 @@
 
 
 def send_piece(state: State, replica: str) -> None:
-    """Send the next piece of the snapshot that the follower is being sent."""
+    """Send the next piece of the follower's snapshot."""
     progress = state.progress_by_replica[replica]
     snapshot, offset = progress.snapshot, progress.snapshot_offset
     if snapshot is None:
@@ -82,7 +82,7 @@
         snapshot.data[offset:stop],
         stop >= len(snapshot.data),
         encode_members(snapshot.members.all),
-        state.reads.round,
+        state.pending_reads.round,
         snapshot.members.index,
         state.hard.boot,
     )
--- a/bitterntiller/components/replication/state.py
+++ b/bitterntiller/components/replication/state.py
@@ -1,34 +1,34 @@
-"""The state of a replica, and the order of its records and messages."""
+"""State of a replica, and the order of its writes and messages."""
 
 import random
 from enum import StrEnum
 
 from .const import NO_VOTE, EntryKind
-from .identity import ReturnState, next_boot
+from .identity import StartupCheck, next_boot
 from .log import Log
-from .members import NO_MEMBERS, decode_members, voters
+from .members import EMPTY_MEMBERSHIP, decode_members, voters
 from .models import (
     Effects,
     Entry,
     HardState,
     Mark,
-    Members,
+    Membership,
     Message,
     Outgoing,
     Persist,
+    PersistentState,
     ReadOutcome,
-    Restored,
     Snapshot,
     Tuning,
 )
 from .progress import Progress
-from .reads import Reads
+from .read_index import PendingReads
 
-APPLY_AT_ONCE = 2048
+MAX_APPLY_BATCH = 2048
 
 
 class Role(StrEnum):
-    """What a replica does in its term."""
+    """Role of a replica in its term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -37,15 +37,16 @@
 
 
 class State:
-    """All that a replica knows.
+    """State of a replica.
 
-    The order of syncing is kept here and nowhere else: a message that is held
-    leaves only after every record that was made before it has been
-    reported as persisted. A crash then loses no promise that a peer has heard.
+    Only this class orders messages after writes: a message passed to
+    send_after_sync() leaves only after every record made before it has been reported
+    as persisted. A crash therefore loses no vote or acknowledgement that a peer has
+    received.
     """
 
     def __init__(
-        self, restored: Restored, tuning: Tuning, rng: random.Random, now: float
+        self, restored: PersistentState, tuning: Tuning, rng: random.Random, now: float
     ) -> None:
         self.replica = restored.replica
         self.tuning = tuning
@@ -57,26 +58,26 @@
         self.log = Log(restored.snapshot, restored.entries)
         self.role = Role.FOLLOWER
         self.leader = ""
-        self.heard = now
-        self.met_leader = False
-        self.deadline = now
-        self.beat = now
+        self.last_leader_contact = now
+        self.has_met_leader = False
+        self.election_deadline = now
+        self.next_broadcast = now
         self.votes: set[str] = set()
-        self.settled = 0
-        self.commit_at_beat = 0
+        self.caught_up_index = 0
+        self.commit_at_heartbeat = 0
         self.progress_by_replica: dict[str, Progress] = {}
-        self.reads = Reads()
-        self.returning = ReturnState(now)
+        self.pending_reads = PendingReads()
+        self.startup_check = StartupCheck(now)
         self.retired = ""
         self.stalled = False
-        self.assembling: tuple[int, int, bytearray] | None = None
+        self.incoming_snapshot: tuple[int, int, bytearray] | None = None
         self.read_outcomes: list[ReadOutcome] = []
         self.counters: dict[str, int] = {}
         self.commit = restored.snapshot.index if restored.snapshot else 0
-        self.handed = self.commit
+        self.delivered = self.commit
         self.stable = self.log.last_index
         self.members = self.members_at(self.log.last_index)
-        self._saved = self.log.last_index
+        self._last_written = self.log.last_index
         self._truncate_from: int | None = None
         self._hard_dirty = True
         self._marks_dirty = False
@@ -86,112 +87,115 @@
         self._pending: Persist | None = None
         self._pending_last = 0
         self._number = 0
-        self._free: list[Outgoing] = []
+        self._ready: list[Outgoing] = []
         self._held: list[Outgoing] = []
         self._awaiting: list[Outgoing] = []
-        self.reset_deadline(now)
+        self.reset_election_timer(now)
 
     @property
     def term(self) -> int:
-        """The term that this replica is in."""
+        """Current term."""
         return self.hard.term
 
     def count(self, name: str) -> None:
-        """Add one to a counter for the dump."""
+        """Increment a counter of the state dump."""
         self.counters[name] = self.counters.get(name, 0) + 1
 
-    def reset_deadline(self, now: float) -> None:
-        """Put off the next election by a random time."""
+    def reset_election_timer(self, now: float) -> None:
+        """Restart the election timeout with a random duration."""
         tuning = self.tuning
-        self.deadline = now + self.rng.uniform(tuning.election_min, tuning.election_max)
+        self.election_deadline = now + self.rng.uniform(
+            tuning.election_min, tuning.election_max
+        )
 
-    def hasten_deadline(self, now: float) -> None:
-        """Have the next election soon, if no leader was heard since the start.
+    def start_first_election_timer(self, now: float) -> None:
+        """Schedule the first election soon if no leader has been met since the start.
 
-        Voters that have all been started anew know that none of them leads; waiting for
-        one would add an election timeout to the time in which control is down. Each
-        begins at its place among the voters, so that two seldom ask at once. A living
-        leader loses nothing: who hears it refuses the pre-vote.
+        Voters that have all restarted know that none of them leads; waiting for a
+        leader would add an election timeout to the time in which control is down.
+        Their campaigns are staggered by their order among the voters, so that two
+        rarely coincide. An existing leader is not deposed: voters in contact with it
+        refuse the pre-vote.
         """
-        if self.met_leader:
-            self.reset_deadline(now)
+        if self.has_met_leader:
+            self.reset_election_timer(now)
             return
         order = sorted(voters(self.members))
-        place = order.index(self.replica) if self.replica in order else len(order)
-        pause = self.tuning.first_election * (place + self.rng.random() / 2)
-        self.deadline = now + pause
+        rank = order.index(self.replica) if self.replica in order else len(order)
+        pause = self.tuning.first_election_spacing * (rank + self.rng.random() / 2)
+        self.election_deadline = now + pause
 
-    def put_off_election(self, now: float) -> None:
-        """Let time pass until this replica tries again to be elected.
+    def start_retry_timer(self, now: float) -> None:
+        """Schedule the next attempt to be elected.
 
-        At a start that is not long, as the others may not yet have answered each other,
-        and refuse a pre-vote until then.
+        The delay is short until a leader has been met: shortly after a start the
+        others may not have completed their startup checks, and refuse pre-votes.
         """
-        if self.met_leader:
-            self.reset_deadline(now)
+        if self.has_met_leader:
+            self.reset_election_timer(now)
             return
         count = max(1, len(voters(self.members)))
-        pause = self.tuning.first_election * count
-        self.deadline = now + self.rng.uniform(pause, 2 * pause)
+        pause = self.tuning.first_election_spacing * count
+        self.election_deadline = now + self.rng.uniform(pause, 2 * pause)
 
     def is_voter(self) -> bool:
-        """Tell whether this replica votes in the newest membership it knows."""
+        """Return whether this replica is a voter in its newest membership."""
         return self.replica in voters(self.members)
 
     def set_term(self, term: int, vote: str = NO_VOTE) -> None:
-        """Enter a term, or note a vote in it; to be synced."""
+        """Set the term and the vote in it; both are synced with the next write."""
         self.hard = self.hard._replace(term=term, vote=vote)
         self._hard_dirty = True
 
-    def follow(self, term: int, leader: str, now: float) -> None:
-        """Become a follower, in a higher term if need be."""
+    def become_follower(self, term: int, leader: str, now: float) -> None:
+        """Become a follower, entering the term if it is higher."""
         if term > self.term:
             self.set_term(term)
         if self.role is Role.LEADER:
-            self.read_outcomes += self.reads.fail()
+            self.read_outcomes += self.pending_reads.fail()
             self.progress_by_replica.clear()
-            self.heard = now
-            self.reset_deadline(now)
+            self.last_leader_contact = now
+            self.reset_election_timer(now)
             self.count("stepped_down")
         self.role = Role.FOLLOWER
         self.leader = leader
 
-    def note_mark(self, replica: str, mark: Mark, due: bool = False) -> None:
-        """Remember what a peer has promised; synced at once only when due."""
+    def record_mark(self, replica: str, mark: Mark, due: bool = False) -> None:
+        """Record what a peer has acknowledged; if due, start a write for it."""
         self.marks_by_replica[replica] = mark
         self._marks_dirty = True
         self._marks_due = self._marks_due or due
 
     def append(self, entry: Entry) -> None:
-        """Add an entry at the end of the log."""
+        """Append an entry to the log; a membership takes effect at once."""
         self.log.append(entry)
         if entry.kind == EntryKind.MEMBERS:
             self.members = decode_members(entry.index, entry.data)
 
     def truncate_from(self, index: int) -> None:
-        """Drop entries that another leader has replaced."""
+        """Remove entries that conflict with another leader's log."""
         self.log.truncate_from(index)
         self.stable = min(self.stable, index - 1)
         self._pending_last = min(self._pending_last, index - 1)
-        if index <= self._saved:
-            self._saved = index - 1
+        if index <= self._last_written:
+            self._last_written = index - 1
             self._truncate_from = min(index, self._truncate_from or index)
         if self.members.index >= index:
             self.members = self.members_at(index - 1)
 
-    def members_at(self, index: int) -> Members:
-        """Return the membership as it was after the entry of that index."""
+    def members_at(self, index: int) -> Membership:
+        """Return the membership in effect after the entry at that index."""
         for entry in reversed(self.log.slice(self.log.base_index + 1, index)):
             if entry.kind == EntryKind.MEMBERS:
                 return decode_members(entry.index, entry.data)
-        return self.snapshot.members if self.snapshot else NO_MEMBERS
+        return self.snapshot.members if self.snapshot else EMPTY_MEMBERSHIP
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replace the state and the log up to it by a leader's snapshot."""
+        """Replace the state, and the log up to it, with a leader's snapshot."""
         self.log.reset(snapshot)
         self.snapshot = snapshot
         self.commit = snapshot.index
-        self.handed = snapshot.index
+        self.delivered = snapshot.index
         self.members = self.members_at(self.log.last_index)
         self._restore = snapshot
         self._snapshot_dirty = True
@@ -200,83 +204,83 @@
         self.count("snapshots_installed")
 
     def snapshot_taken(self, index: int, data: bytes) -> None:
-        """Keep the state after an applied entry, and shorten the log."""
+        """Store a snapshot of the state after an applied entry and compact the log."""
         term = self.log.term_at(index)
         if term is None or (self.snapshot and index <= self.snapshot.index):
             return
         self.snapshot = Snapshot(index, term, self.members_at(index), data)
         self._snapshot_dirty = True
-        self.log.compact(index - self.tuning.trailing)
+        self.log.compact(index - self.tuning.trailing_entries)
         self.count("snapshots_taken")
 
-    def hold(self, to: str, message: Message) -> None:
-        """Send once all records made so far are synced."""
+    def send_after_sync(self, to: str, message: Message) -> None:
+        """Send a message once all records made so far are synced."""
         self._held.append(Outgoing(to, message))
 
     def send(self, to: str, message: Message) -> None:
-        """Send a leader's entries, which need no sync of its log.
+        """Send a leader's entries without waiting for its own log to be synced.
 
-        They do need that of its term: a leader that forgot its term could send
-        other entries in the same one.
+        Its term must be synced: a leader that forgot its term could send different
+        entries in the same term.
         """
         unsynced = self._hard_dirty or (self._pending and self._pending.hard)
-        (self._held if unsynced else self._free).append(Outgoing(to, message))
+        (self._held if unsynced else self._ready).append(Outgoing(to, message))
 
-    def take(self) -> Effects:
-        """Return what is to be done now; one write is under way at a time."""
+    def take_effects(self) -> Effects:
+        """Return the effects that are due; at most one write is in progress."""
         persist = None if self._pending else self._next_persist()
         if persist:
             self._awaiting, self._held = self._held, []
         elif not self._pending:
-            self._free += self._held
+            self._ready += self._held
             self._held = []
-        messages, self._free = tuple(self._free), []
+        messages, self._ready = tuple(self._ready), []
         reads, self.read_outcomes = tuple(self.read_outcomes), []
         restore, self._restore = self._restore, None
         committed = self._next_committed()
         return Effects(persist, messages, restore, committed, reads, self.retired)
 
     def _next_committed(self) -> tuple[Entry, ...]:
-        # Only what is synced here too is applied, so that a snapshot of the
-        # state never runs ahead of this replica's own log.
-        stop = min(self.commit, self.stable, self.handed + APPLY_AT_ONCE)
-        committed = self.log.slice(self.handed + 1, stop)
-        self.handed = max(self.handed, stop)
+        # Apply only entries that are synced here too, so that a snapshot of the
+        # state is never ahead of this replica's own log.
+        stop = min(self.commit, self.stable, self.delivered + MAX_APPLY_BATCH)
+        committed = self.log.slice(self.delivered + 1, stop)
+        self.delivered = max(self.delivered, stop)
         return committed
 
     def _next_persist(self) -> Persist | None:
-        entries = self.log.slice(self._saved + 1, self.log.last_index)
+        entries = self.log.slice(self._last_written + 1, self.log.last_index)
         due = self._hard_dirty or self._marks_due or self._snapshot_dirty
         if not (due or entries or self._truncate_from):
             return None
-        whole = self.snapshot if self._snapshot_dirty else None
-        if whole:
-            entries = self.log.slice(whole.index + 1, self.log.last_index)
+        snapshot = self.snapshot if self._snapshot_dirty else None
+        if snapshot:
+            entries = self.log.slice(snapshot.index + 1, self.log.last_index)
         self._number += 1
         self._pending = Persist(
             self._number,
-            self.hard if self._hard_dirty or whole else None,
-            dict(self.marks_by_replica) if self._marks_dirty or whole else None,
-            None if whole else self._truncate_from,
+            self.hard if self._hard_dirty or snapshot else None,
+            dict(self.marks_by_replica) if self._marks_dirty or snapshot else None,
+            None if snapshot else self._truncate_from,
             entries,
-            whole,
+            snapshot,
         )
-        self._pending_last = self._saved = self.log.last_index
+        self._pending_last = self._last_written = self.log.last_index
         self._truncate_from = None
         self._hard_dirty = self._marks_dirty = self._marks_due = False
         self._snapshot_dirty = False
         return self._pending
 
     def persisted(self, number: int) -> None:
-        """Note that a write is synced; what waited for it may leave."""
+        """Mark a write as synced and release the messages that waited for it."""
         if self._pending is None or self._pending.number != number:
             return
         self._pending = None
         self.stable = max(self.stable, self._pending_last)
-        self._free += self._awaiting
+        self._ready += self._awaiting
         self._awaiting = []
 
 
-def initial(replica: str) -> Restored:
-    """Return what a new data folder holds."""
-    return Restored(replica, HardState(), {}, None, ())
+def initial_persistent_state(replica: str) -> PersistentState:
+    """Return the state of a new data folder."""
+    return PersistentState(replica, HardState(), {}, None, ())
--- a/bitterntiller/components/replication/storage.py
+++ b/bitterntiller/components/replication/storage.py
@@ -1,9 +1,9 @@
-"""The data folder of a replica.
+"""Data folder of a replica.
 
-It holds identity (the replica's id), one log-N (a first frame with the whole
-state, then a frame for each write) and one snapshot-INDEX. A new log or snapshot
-is written under another name, synced, renamed, and the folder synced; the old
-one is dropped after that. These calls block and are run in a thread.
+It holds identity (the replica id), one log-N (a first frame with the whole state, then
+one frame per write) and one snapshot-INDEX. A new log or snapshot is written under a
+temporary name, synced and renamed, then the folder is synced and the old file removed.
+These calls block and are run in a thread.
 """
 
 import errno
@@ -24,7 +24,7 @@
     StorageFailedError,
     StorageFullError,
 )
-from .models import HardState, Persist, Restored, Snapshot
+from .models import HardState, Persist, PersistentState, Snapshot
 from .records import (
     Replay,
     decode_batch,
@@ -39,11 +39,11 @@
 _IDENTITY = "identity"
 _LOCK = "lock"
 _TEMPORARY = ".new"
-_NO_ROOM = (errno.ENOSPC, errno.EDQUOT)
+_DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
 
 
 class Storage:
-    """An open data folder, locked against other processes."""
+    """Open data folder, locked against other processes."""
 
     def __init__(self, folder: Path, host: str) -> None:
         self._folder = folder
@@ -51,7 +51,7 @@
         self._failed = ""
         self._log_fd = -1
         self._log_number = 0
-        self._head = frames.new_head(0)
+        self._header = frames.new_header(0)
         folder.mkdir(parents=True, exist_ok=True)
         self._lock_fd = _lock(folder)
         try:
@@ -60,8 +60,8 @@
             self.close()
             raise
 
-    def _open(self) -> Restored:
-        self._drop_temporary()
+    def _open(self) -> PersistentState:
+        self._remove_temporary()
         replica = self._read_identity()
         if replica is None or replica.rpartition("/")[0] != self._host:
             self._move_aside()
@@ -69,18 +69,18 @@
         return self._load(replica)
 
     def write(self, persist: Persist) -> None:
-        """Write and sync records; raise StorageFailedError when that fails.
+        """Write and sync records; raise StorageFailedError if that fails.
 
-        Raise StorageFullError when there was no room: all is as it was before, since
-        the bytes that found room are taken back and nothing was synced. After a failed
-        sync the kernel may have dropped what was not written and report success to the
-        next sync, so any other failure is final.
+        Raise StorageFullError if the disk is full. The stored state is then unchanged:
+        the partial write is truncated and nothing was synced. Any other failure is
+        final, since after a failed sync the kernel may have dropped the unwritten data
+        and report success for the next sync.
         """
         if self._failed:
             raise StorageFailedError(self._failed)
         try:
             self._write(persist)
-        except _NoRoomError as error:
+        except _DiskFullError as error:
             raise StorageFullError(f"{self._folder}: no room") from error
         except OSError as error:
             self._failed = f"{self._folder}: {error}"
@@ -90,13 +90,15 @@
         if persist.snapshot is not None:
             self._write_snapshot(persist.snapshot)
             self._begin_log(persist.snapshot.index, persist)
-            self._drop_old(persist.snapshot.index)
+            self._remove_obsolete(persist.snapshot.index)
             return
-        _write_all(self._log_fd, frames.encode_frame(self._head, encode_batch(persist)))
+        _write_all(
+            self._log_fd, frames.encode_frame(self._header, encode_batch(persist))
+        )
         os.fdatasync(self._log_fd)
 
     def retire(self) -> None:
-        """Give up this identity; set the files aside and begin a new one."""
+        """Retire this identity: move its files aside and create a new identity."""
         os.close(self._log_fd)
         self._log_fd = -1
         self._move_aside()
@@ -108,12 +110,12 @@
             os.close(self._log_fd)
         os.close(self._lock_fd)
 
-    def _create(self) -> Restored:
+    def _create(self) -> PersistentState:
         replica = f"{self._host}/{uuid.uuid4().hex}"
-        restored = Restored(replica, HardState(), {}, None, ())
+        restored = PersistentState(replica, HardState(), {}, None, ())
         self._begin_log(0, Persist(0, HardState(), {}, None, (), None))
         text = json.dumps({"replica": replica, "crc": zlib.crc32(replica.encode())})
-        # The identity comes last: a folder without one was never used.
+        # The identity is written last: a folder without one was never used.
         self._write_file(_IDENTITY, text.encode())
         return restored
 
@@ -124,64 +126,68 @@
         try:
             found = json.loads(path.read_bytes())
             replica = found["replica"]
-            sound = zlib.crc32(replica.encode()) == found["crc"]
+            valid = zlib.crc32(replica.encode()) == found["crc"]
         except (ValueError, KeyError, TypeError, AttributeError):
-            sound = False
-        if not sound:
+            valid = False
+        if not valid:
             raise LogDamagedError(str(path), 0, "the identity is damaged")
         return replica
 
-    def _load(self, replica: str) -> Restored:
+    def _load(self, replica: str) -> PersistentState:
         snapshot = self._load_snapshot()
         number, path = max(self._numbered(_LOG), default=(0, None))
         if path is None:
             raise LogDamagedError(str(self._folder), 0, "the log is missing")
         data = path.read_bytes()
-        payloads, sound = frames.decode_frames(str(path), data, whole=1)
-        self._head = frames.decode_head(str(path), data)
-        if self._head.base > (snapshot.index if snapshot else 0):
+        payloads, valid_bytes = frames.decode_frames(str(path), data, required_frames=1)
+        self._header = frames.decode_header(str(path), data)
+        if self._header.base > (snapshot.index if snapshot else 0):
             raise LogDamagedError(
-                str(path), 0, f"snapshot {self._head.base} is missing"
+                str(path), 0, f"snapshot {self._header.base} is missing"
             )
-        replay = Replay(Restored(replica, HardState(), {}, snapshot, ()))
+        replay = Replay(PersistentState(replica, HardState(), {}, snapshot, ()))
         for payload in payloads:
             replay.apply(_decoded(path, payload))
         self._log_number = number
         self._log_fd = os.open(path, os.O_WRONLY | os.O_APPEND)
-        if sound < len(data):
-            os.ftruncate(self._log_fd, sound)
+        if valid_bytes < len(data):
+            os.ftruncate(self._log_fd, valid_bytes)
             os.fsync(self._log_fd)
-        self._drop_old(snapshot.index if snapshot else 0)
+        self._remove_obsolete(snapshot.index if snapshot else 0)
         return replay.restored()
 
     def _load_snapshot(self) -> Snapshot | None:
         _, path = max(self._numbered(_SNAPSHOT), default=(0, None))
         if path is None:
             return None
-        payloads, _ = frames.decode_frames(str(path), path.read_bytes(), whole=1)
+        payloads, _ = frames.decode_frames(
+            str(path), path.read_bytes(), required_frames=1
+        )
         try:
             return decode_snapshot(payloads[0])
         except MalformedMessageError as error:
-            raise LogDamagedError(str(path), frames.HEAD_SIZE, str(error)) from error
+            raise LogDamagedError(str(path), frames.HEADER_SIZE, str(error)) from error
 
     def _write_snapshot(self, snapshot: Snapshot) -> None:
-        head = frames.new_head(snapshot.index)
-        frame = frames.encode_frame(head, encode_snapshot(snapshot))
-        self._write_file(f"snapshot-{snapshot.index}", frames.encode_head(head) + frame)
-
-    def _begin_log(self, base: int, whole: Persist) -> None:
-        head = frames.new_head(base)
-        frame = frames.encode_frame(head, encode_batch(whole))
+        header = frames.new_header(snapshot.index)
+        frame = frames.encode_frame(header, encode_snapshot(snapshot))
+        self._write_file(
+            f"snapshot-{snapshot.index}", frames.encode_header(header) + frame
+        )
+
+    def _begin_log(self, base: int, state: Persist) -> None:
+        header = frames.new_header(base)
+        frame = frames.encode_frame(header, encode_batch(state))
         number = self._log_number + 1
-        path = self._write_file(f"log-{number}", frames.encode_head(head) + frame)
+        path = self._write_file(f"log-{number}", frames.encode_header(header) + frame)
         if self._log_fd != -1:
             os.close(self._log_fd)
         self._log_fd = os.open(path, os.O_WRONLY | os.O_APPEND)
         self._log_number = number
-        self._head = head
+        self._header = header
 
     def _write_file(self, name: str, data: bytes) -> Path:
-        """Write a file that is there whole or not at all after a crash."""
+        """Write a file atomically: after a crash it is complete or absent."""
         temporary = self._folder / (name + _TEMPORARY)
         fd = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         try:
@@ -191,8 +197,8 @@
             os.close(fd)
         path = self._folder / name
         os.rename(temporary, path)
-        # Without this sync a power loss could take the new name back although
-        # what depends on it has been acknowledged.
+        # Without this sync a power loss could undo the rename although data that
+        # depends on it has been acknowledged.
         _sync_folder(self._folder)
         return path
 
@@ -200,7 +206,7 @@
         matches = ((pattern.fullmatch(p.name), p) for p in self._folder.iterdir())
         return [(int(match[1]), path) for match, path in matches if match]
 
-    def _drop_old(self, snapshot_index: int) -> None:
+    def _remove_obsolete(self, snapshot_index: int) -> None:
         for number, path in self._numbered(_LOG):
             if number < self._log_number:
                 path.unlink()
@@ -208,12 +214,12 @@
             if number < snapshot_index:
                 path.unlink()
 
-    def _drop_temporary(self) -> None:
+    def _remove_temporary(self) -> None:
         for path in self._folder.glob("*" + _TEMPORARY):
             path.unlink()
 
     def _move_aside(self) -> None:
-        """Keep the files of an identity that is given up, out of use."""
+        """Move the files of a retired identity into an aside-N subfolder."""
         found = self._numbered(_LOG) + self._numbered(_SNAPSHOT)
         identity = self._folder / _IDENTITY
         if not found and not identity.exists():
@@ -221,7 +227,7 @@
         number = max((n for n, _ in self._numbered(_ASIDE)), default=0) + 1
         aside = self._folder / f"aside-{number}"
         aside.mkdir()
-        # The identity goes first: without it the rest is never used again.
+        # The identity is moved first: without it the other files are never used again.
         if identity.exists():
             identity.rename(aside / _IDENTITY)
             _sync_folder(self._folder)
@@ -247,22 +253,22 @@
     return fd
 
 
-class _NoRoomError(Exception):
-    """A write found no room; the file is as long as it was before."""
+class _DiskFullError(Exception):
+    """The disk is full; the file has its previous length again."""
 
 
 def _write_all(fd: int, data: bytes) -> None:
-    """Append to a file; raise _NoRoomError on a full disk."""
+    """Append to a file; raise _DiskFullError if the disk is full."""
     before = os.fstat(fd).st_size
     view = memoryview(data)
     try:
         while view:
             view = view[os.write(fd, view) :]
     except OSError as error:
-        if error.errno not in _NO_ROOM:
+        if error.errno not in _DISK_FULL_ERRNOS:
             raise
         os.ftruncate(fd, before)
-        raise _NoRoomError from error
+        raise _DiskFullError from error
 
 
 def _sync_folder(folder: Path) -> None:
--- a/bitterntiller/components/replication/wire.py
+++ b/bitterntiller/components/replication/wire.py
@@ -1,11 +1,11 @@
-"""The messages of replicas as Thrift structures, and back."""
+"""Conversion of replication messages to Thrift structures and back."""
 
 from typing import Any
 
 from bitterntiller.protocol import messages as wire
 
 from . import models
-from .records import plain_entries, wire_entries
+from .records import entries_from_wire, entries_to_wire
 
 _PAIRS = (
     (models.PreVote, wire.PreVote),
@@ -27,18 +27,18 @@
 
 
 def to_wire(message: models.Message) -> Any:
-    """Return a message as its Thrift structure."""
+    """Convert a message to its Thrift structure."""
     fields = message._asdict()
     if "entries" in fields:
-        fields["entries"] = wire_entries(fields["entries"])
+        fields["entries"] = entries_to_wire(fields["entries"])
     return _WIRE_BY_MODEL[type(message)](**fields)
 
 
 def from_wire(structure: Any) -> models.Message:
-    """Return a Thrift structure as a message; absent fields get defaults."""
+    """Convert a Thrift structure to a message; absent fields get defaults."""
     model = _MODEL_BY_WIRE[type(structure)]
     fields = {name: getattr(structure, name) for name in model._fields}
     fields = {name: value for name, value in fields.items() if value is not None}
     if "entries" in fields:
-        fields["entries"] = plain_entries(fields["entries"])
+        fields["entries"] = entries_from_wire(fields["entries"])
     return model(**fields)
--- a/bitterntiller/components/rollouts/state.py
+++ b/bitterntiller/components/rollouts/state.py
@@ -1,17 +1,17 @@
-"""The rollouts of services; part of the replicated state.
+"""The rollouts of services; part of control's replicated state.
 
-Order, evidence, allowances and verdict are entries of control's log: they have one
-writer, survive lost hosts, and no owner of a pool begins from zero.
+Order, evidence, allowances and verdict are entries of control's log: they have a single
+writer and survive the loss of hosts, and a new pool owner does not start from zero.
 """
 
 from typing import Any
 
 from bitterntiller.components.rollouts.const import (
-    DRAINED_SECONDS,
+    DUPLICATE_ORDER_SECONDS,
     LABEL_VERSION,
     MAX_CELLS,
     MAX_SERVICES,
-    REPEAT_SECONDS,
+    OLD_RUNNING_MAX_AGE,
     STATE_READY,
     STATUS_ABSENT,
     STATUS_ACCEPTED,
@@ -33,8 +33,8 @@
 class Rollout:
     """One rollout of a service; number is the index of its order in the log.
 
-    allotted is how many requests owners were allowed to send to the new version. why
-    tells what the verdict rests on.
+    allotted is how many requests owners were allowed to send to the candidate version.
+    why is the reason of the verdict.
     """
 
     def __init__(
@@ -54,33 +54,33 @@
 
     @property
     def reached(self) -> int:
-        """Requests that came for the service since the order."""
+        """Number of requests that arrived for the service since the order."""
         return sum(totals.reached for totals in self.totals_by_owner.values())
 
     @property
     def exposed(self) -> int:
-        """Requests that were sent to the new version."""
+        """Number of requests that were sent to the candidate version."""
         return sum(totals.exposed for totals in self.totals_by_owner.values())
 
     def old_running(self, now_ms: int) -> int | None:
-        """Return what runs on the old version, None when no owner has told of late."""
-        oldest = now_ms - DRAINED_SECONDS * 1000
-        told = [
+        """Return the requests on the old version, None if not reported lately."""
+        oldest = now_ms - OLD_RUNNING_MAX_AGE * 1000
+        reported = [
             item for item in self.totals_by_owner.values() if item.told_ms >= oldest
         ]
-        return sum(item.old_running for item in told) if told else None
+        return sum(item.old_running for item in reported) if reported else None
 
     def counts_by_cell(self) -> dict[Cell, Counts]:
-        """Return the evidence of all owners together."""
+        """Return the evidence summed over all owners."""
         found: dict[Cell, Counts] = {}
         for counts_by_cell in self.counts_by_owner.values():
             for cell, counts in counts_by_cell.items():
-                known = found.get(cell)
-                found[cell] = counts if known is None else known.plus(counts)
+                total = found.get(cell)
+                found[cell] = counts if total is None else total.plus(counts)
         return found
 
-    def note(self, report: Any) -> None:
-        """Take a messages.RolloutReport; its counts replace earlier ones."""
+    def record(self, report: Any) -> None:
+        """Record a messages.RolloutReport; its counts replace earlier ones."""
         self.totals_by_owner[report.owner] = Totals(
             report.reached, report.exposed, report.old_running, report.told_ms or 0
         )
@@ -91,7 +91,7 @@
                 counts_by_cell[cell] = Counts(*item.counts)
 
     def to_document(self) -> dict[str, Any]:
-        """Return the whole rollout for a snapshot."""
+        """Return the rollout for a snapshot."""
         return {
             "number": self.number,
             "service": self.service,
@@ -111,7 +111,7 @@
 
     @classmethod
     def from_document(cls, document: dict[str, Any]) -> "Rollout":
-        """Return the rollout that to_document() described."""
+        """Return the rollout in a document of to_document()."""
         made = cls(
             document["number"],
             document["service"],
@@ -134,9 +134,9 @@
 
 
 class RolloutsState:
-    """The last rollout of each service, and the versions that serve.
+    """The last rollout and the serving version of each service.
 
-    version grows with each change of the version rules.
+    version increases with each change of the version rules.
     """
 
     def __init__(self) -> None:
@@ -165,40 +165,41 @@
             rules.append(messages.ServiceVersionRules(pool=service, **found._asdict()))
         return messages.VersionRulesList(version=self.version, rules=rules)
 
-    def order(self, index: int, order: Any, time_ms: int) -> Any:
-        """Decide a messages.StartRollout; return a messages.RolloutReply.
+    def start_rollout(self, index: int, order: Any, time_ms: int) -> Any:
+        """Apply a messages.StartRollout; return a messages.RolloutReply.
 
-        An order that is sent again hears what the first one heard: confirmations are
-        lost, and the same order must not start another rollout.
+        A repeated order gets the reply of the first one: replies can be lost, and the
+        same order must not start another rollout.
         """
-        known = self.by_service.get(order.pool)
-        if known is not None and known.to == order.to:
-            recent = time_ms - known.ordered_ms <= REPEAT_SECONDS * 1000
-            if known.phase is not Phase.REVERTED or recent:
-                return reply(STATUS_ACCEPTED, known)
-        if known is not None and known.phase.under_way:
-            text = f"the rollout of {order.pool} to {known.to} is under way"
-            return reply(STATUS_CONFLICT, known, text)
+        last = self.by_service.get(order.pool)
+        if last is not None and last.to == order.to:
+            recent = time_ms - last.ordered_ms <= DUPLICATE_ORDER_SECONDS * 1000
+            if last.phase is not Phase.REVERTED or recent:
+                return make_reply(STATUS_ACCEPTED, last)
+        if last is not None and last.phase.under_way:
+            text = f"the rollout of {order.pool} to {last.to} is under way"
+            return make_reply(STATUS_CONFLICT, last, text)
         if self.serving_by_service.get(order.pool) == order.to:
             text = f"{order.pool} is served by version {order.to} already"
-            return reply(STATUS_INVALID, known, text)
-        if known is None and len(self.by_service) >= MAX_SERVICES:
+            return make_reply(STATUS_INVALID, last, text)
+        if last is None and len(self.by_service) >= MAX_SERVICES:
             text = f"rollouts of {MAX_SERVICES} services are kept at most"
-            return reply(STATUS_INVALID, None, text)
+            return make_reply(STATUS_INVALID, None, text)
         rollout = Rollout(index, order.pool, order.to, time_ms, order.duration_ms)
         self.by_service[order.pool] = rollout
         self.version = index
-        return reply(STATUS_ACCEPTED, rollout)
+        return make_reply(STATUS_ACCEPTED, rollout)
 
     def find(self, service: str) -> Any:
         """Return the messages.RolloutReply of a service's last rollout."""
-        known = self.by_service.get(service)
-        return reply(STATUS_ABSENT if known is None else STATUS_OK, known)
+        last = self.by_service.get(service)
+        return make_reply(STATUS_ABSENT if last is None else STATUS_OK, last)
 
-    def step(self, index: int, step: Any, time_ms: int) -> None:
-        """Take a messages.RolloutStep, unless the rollout has gone on meanwhile.
+    def apply_step(self, index: int, step: Any, time_ms: int) -> None:
+        """Apply a messages.RolloutStep, unless it is outdated.
 
-        A late one of a deposed leader finds a verdict, or another rollout.
+        A delayed step of a deposed leader can arrive after the verdict of the next
+        leader, or during another rollout.
         """
         rollout = self.by_service.get(step.pool)
         if rollout is None or rollout.number != step.number:
@@ -212,30 +213,32 @@
             self.serving_by_service[rollout.service] = rollout.to
         self.version = index
 
-    def report(self, report: Any) -> Any:
-        """Take a messages.RolloutReport; return its messages.RolloutReportReply.
+    def record_report(self, report: Any) -> Any:
+        """Apply a messages.RolloutReport; return its messages.RolloutReportReply.
 
-        The allowance is given here and not by the leader alone: of two leaders at once
-        each would give the whole of what is left.
+        The allowance is granted here and not by the leader alone: two leaders at the
+        same time would each grant all that is left.
         """
         rollout = self.by_service.get(report.pool)
         if rollout is None or rollout.number != report.number:
             return messages.RolloutReportReply(status=STATUS_ABSENT, allowed=0)
         allowed = 0
         if rollout.phase.under_way:
-            rollout.note(report)
+            rollout.record(report)
             allowed = max(0, min(report.wanted, (report.cap or 0) - rollout.allotted))
             rollout.allotted += allowed
         return messages.RolloutReportReply(
             status=STATUS_OK, allowed=allowed, phase=rollout.phase
         )
 
-    def follow(self, index: int, upstreams_by_name: dict[str, Any]) -> None:
-        """Settle which version serves a service, from the upstreams registered now.
+    def update_serving_versions(
+        self, index: int, upstreams_by_name: dict[str, Any]
+    ) -> None:
+        """Update the serving versions from the upstreams registered now.
 
-        The first version that registers does, and one that nobody ordered only once no
-        upstream of the serving version is ready: a service isn't stranded when its
-        upstreams change version without an order.
+        The first version that registers serves. A version without an order serves only
+        once no upstream of the serving version is ready, so that a service is not left
+        without upstreams when they change version without an order.
         """
         ready_by_service: dict[str, set[str]] = {}
         for item in upstreams_by_name.values():
@@ -244,9 +247,9 @@
                 ready_by_service.setdefault(item.pool, set()).add(version)
         for service, ready in ready_by_service.items():
             if self.serving_by_service.get(service) not in ready:
-                self._adopt(index, service, ready)
+                self._adopt_version(index, service, ready)
 
-    def _adopt(self, index: int, service: str, ready: set[str]) -> None:
+    def _adopt_version(self, index: int, service: str, ready: set[str]) -> None:
         rollout = self.by_service.get(service)
         if rollout is not None:
             if rollout.phase.under_way:
@@ -257,7 +260,7 @@
             self.version = index
 
     def to_document(self) -> dict[str, Any]:
-        """Return the whole state for a snapshot."""
+        """Return the state for a snapshot."""
         return {
             "version": self.version,
             "serving": self.serving_by_service,
@@ -265,15 +268,15 @@
         }
 
     def from_document(self, document: dict[str, Any]) -> None:
-        """Replace the state by that of a snapshot; nothing is known of an empty one."""
+        """Replace the state by that of a snapshot; an empty document clears it."""
         self.version = document.get("version", 0)
         self.serving_by_service = dict(document.get("serving", {}))
         found = [Rollout.from_document(item) for item in document.get("rollouts", [])]
         self.by_service = {item.service: item for item in found}
 
 
-def reply(status: str, rollout: Rollout | None, text: str = "") -> Any:
-    """Return a messages.RolloutReply; the leader is told by whoever sends it."""
+def make_reply(status: str, rollout: Rollout | None, text: str = "") -> Any:
+    """Return a messages.RolloutReply; its sender fills in the leader."""
     if rollout is None:
         return messages.RolloutReply(status=status, leader="", text=text)
     return messages.RolloutReply(
--- a/bitterntiller/core/document.py
+++ b/bitterntiller/core/document.py
@@ -1,4 +1,4 @@
-"""JSON documents with comments, read so that each value's line can be found."""
+"""JSON documents with comments that can report the line of each key."""
 
 import json
 import math
@@ -22,7 +22,7 @@
 
 
 class Document:
-    """The value of a document, and the line of each key by its path."""
+    """The value of a document and, by path, the line of each key."""
 
     def __init__(self, file: str, text: str, value: Any) -> None:
         self.file = file
@@ -31,13 +31,13 @@
 
     @cached_property
     def lines_by_path(self) -> dict[KeyPath, int]:
-        """The lines, from 1, of all keys."""
+        """The lines of all keys, counted from 1."""
         from bitterntiller.core.positions import find_positions
 
         return find_positions(self._text, self.file).lines_by_path
 
     def line(self, path: KeyPath) -> int:
-        """Return the line of a key, or of the nearest key around it."""
+        """Return the line of a key, or of its nearest enclosing key."""
         while path and path not in self.lines_by_path:
             path = path[:-1]
         return self.lines_by_path.get(path, 1)
@@ -49,19 +49,21 @@
 
 
 def read_document(path: Path) -> Document:
-    """Read a file of JSON with comments; raise DocumentError."""
+    """Read a JSON file with comments; raise DocumentError."""
     try:
         text = path.read_bytes().decode()
     except UnicodeDecodeError as error:
         line = error.object[: error.start].count(b"\n") + 1
-        raise _fault(str(path), line, "not UTF-8") from error
+        raise _document_error(str(path), line, "not UTF-8") from error
     except OSError as error:
-        raise _fault(str(path), 1, f"can't be read: {error.strerror}") from error
+        raise _document_error(
+            str(path), 1, f"can't be read: {error.strerror}"
+        ) from error
     return parse_document(text, str(path))
 
 
 def parse_document(text: str, file: str) -> Document:
-    """Parse JSON with comments; raise DocumentError that names file and line."""
+    """Parse JSON with comments; raise DocumentError with file and line."""
     try:
         return Document(file, text, _parse(text))
     except (ValueError, RecursionError):
@@ -69,34 +71,34 @@
 
 
 def _parse(text: str) -> Any:
-    """Return the value of a good text; raise ValueError for a bad one."""
+    """Return the parsed value; raise ValueError for an invalid text."""
     bare = _STRING_OR_COMMENT.sub(lambda found: found[1] or " ", text)
     value = json.loads(
         bare,
-        object_pairs_hook=_distinct,
-        parse_float=_finite,
-        parse_constant=_no_constant,
+        object_pairs_hook=_reject_duplicate_keys,
+        parse_float=_parse_finite,
+        parse_constant=_reject_constant,
     )
-    # Half of a surrogate pair passes the parser, but no message could carry it.
+    # The parser accepts an unpaired surrogate, which UTF-8 messages can't encode.
     json.dumps(value, ensure_ascii=False).encode()
     return value
 
 
-def _distinct(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     value = dict(pairs)
     if len(value) != len(pairs):
         raise ValueError("a key given twice")
     return value
 
 
-def _finite(digits: str) -> float:
+def _parse_finite(digits: str) -> float:
     value = float(digits)
     if not math.isfinite(value):
         raise ValueError("a number out of range")
     return value
 
 
-def _no_constant(name: str) -> float:
+def _reject_constant(name: str) -> float:
     raise ValueError(f"{name} is not JSON")
 
 
@@ -107,5 +109,5 @@
     return DocumentError(problems or [LocatedProblem(file, 1, ".", "not JSON")])
 
 
-def _fault(file: str, line: int, text: str) -> DocumentError:
+def _document_error(file: str, line: int, text: str) -> DocumentError:
     return DocumentError([LocatedProblem(file, line, ".", text)])
--- a/standins/announcer.py
+++ b/standins/announcer.py
@@ -1,4 +1,4 @@
-"""Announcements of a stand-in to the entry hosts."""
+"""Periodic announcements of a stand-in to the entry hosts."""
 
 import json
 import time
@@ -18,10 +18,10 @@
 CACHE_EVENTS_AT_ONCE = 256
 
 
-async def async_exchange(
+async def async_post(
     address: tuple[str, int], target: str, headers: dict[str, str], body: bytes
 ) -> int:
-    """Post a body on a connection of its own and return the status; 0: no answer."""
+    """Post a body on a new connection; return the status, or 0 without a response."""
     http = h11.Connection(h11.CLIENT)
     fields = {"Host": f"{address[0]}:{address[1]}", "Connection": "close", **headers}
     fields["Content-Length"] = str(len(body))
@@ -43,7 +43,10 @@
 
 
 class Announcer:
-    """Tells one of several entry hosts about the stand-in every second."""
+    """Announces the stand-in to one of several entry hosts every second.
+
+    It stays with one host while that host accepts, else tries the next ones.
+    """
 
     def __init__(
         self,
@@ -53,7 +56,7 @@
         on_accepted: Callable[[], None],
     ) -> None:
         self.leaving = False
-        self.changed = curio.Event()
+        self.announce_now = curio.Event()
         self.cache_events: deque[dict[str, Any]] = deque(maxlen=10_000)
         self.kv_tokens_used = 0
         self._options = options
@@ -71,12 +74,12 @@
         }
 
     async def async_run(self) -> None:
-        """Announce for ever."""
+        """Announce until cancelled, every PERIOD_S or when announce_now is set."""
         while self._hosts:
             if not self._faults.silent:
                 await self._async_announce()
-            await curio.ignore_after(PERIOD_S, self.changed.wait)
-            self.changed.clear()
+            await curio.ignore_after(PERIOD_S, self.announce_now.wait)
+            self.announce_now.clear()
 
     async def _async_announce(self) -> None:
         body = json.dumps(self._document()).encode()
@@ -91,7 +94,7 @@
         try:
             status = await curio.timeout_after(
                 TIMEOUT_S,
-                async_exchange,
+                async_post,
                 address,
                 "/v1/upstreams/announce",
                 self._headers,
@@ -119,20 +122,20 @@
             "labels": options.labels_by_key,
             "slots": options.slots,
             "kv_tokens": options.kv_tokens,
-            "load": self._load(),
+            "load": self._load_report(),
             "cache_events": events,
         }
 
-    def _load(self) -> dict[str, int]:
-        """Return a report that is as late as the options say."""
+    def _load_report(self) -> dict[str, int]:
+        """Return the load that was measured load_lag_ms ago."""
         now, lag = time.monotonic(), self._options.load_lag_ms / 1000
         self._loads.append((now, self._running(), self.kv_tokens_used))
         while len(self._loads) > 1 and self._loads[1][0] <= now - lag:
             self._loads.popleft()
-        measured, held, used = self._loads[0]
+        measured, active, used = self._loads[0]
         return {
-            "running": min(held, self._options.slots),
-            "waiting": max(0, held - self._options.slots),
+            "running": min(active, self._options.slots),
+            "waiting": max(0, active - self._options.slots),
             "kv_tokens": used,
             "age_ms": int((now - measured) * 1000),
         }
--- a/standins/server.py
+++ b/standins/server.py
@@ -1,4 +1,4 @@
-"""The serving side that both stand-ins share: HTTP, faults, records, leaving."""
+"""Server shared by both stand-ins: HTTP, fault injection, records and shutdown."""
 
 import json
 import signal
@@ -12,16 +12,16 @@
 from curio.io import Socket
 
 from standins.announcer import Announcer
-from standins.answers import digest
 from standins.faults import Faults
 from standins.options import Options, parse_address
+from standins.responses import digest
 
 READ_BYTES = 65536
 LINGER_RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"
 
 
-class ConnectionLost(Exception):  # noqa: N818
-    """Raised when the peer is gone or a fault ends the connection."""
+class ConnectionLostError(Exception):
+    """Raised when the peer disconnects or a fault breaks the connection."""
 
 
 class Request(NamedTuple):
@@ -36,14 +36,14 @@
 
 
 class Connection:
-    """One connection of a peer; answers one request at a time."""
+    """One HTTP connection, with one request at a time."""
 
     def __init__(self, sock: Any) -> None:
         self._sock = sock
         self._http = h11.Connection(h11.SERVER)
 
     async def async_read(self) -> Request | None:
-        """Return the next request, None when the peer has closed."""
+        """Return the next request, None when the peer has closed the connection."""
         if self._http.our_state is h11.DONE:
             self._http.start_next_cycle()
         head, body = None, []
@@ -63,17 +63,17 @@
                 return None
 
     async def async_send(self, *events: h11.Event) -> None:
-        """Send some parts of an answer at once."""
+        """Send parts of a response in one write."""
         data = b"".join(self._http.send(event) or b"" for event in events)
         try:
             await self._sock.sendall(data)
         except OSError as err:
-            raise ConnectionLost from err
+            raise ConnectionLostError from err
 
-    async def async_answer(
+    async def async_respond(
         self, status: int, document: Any, headers: dict[str, str] | None = None
     ) -> None:
-        """Send a whole answer; document is JSON or bytes that are JSON already."""
+        """Send a complete response; document is a JSON value or encoded JSON."""
         body = (
             document if isinstance(document, bytes) else json.dumps(document).encode()
         )
@@ -88,24 +88,27 @@
             h11.EndOfMessage(),
         )
 
-    async def async_wait_gone(self) -> None:
-        """Return when the peer has closed, as one that waits for an answer may."""
+    async def async_wait_closed(self) -> None:
+        """Wait until the peer closes, as a client that waits for a response may do."""
         while await self._sock.recv(READ_BYTES):
             pass
 
     def reset(self) -> None:
-        """End the connection by a TCP reset."""
+        """Close the connection with a TCP reset; raise ConnectionLostError."""
         self._sock.setsockopt(
             system_socket.SOL_SOCKET, system_socket.SO_LINGER, LINGER_RESET
         )
-        raise ConnectionLost
+        raise ConnectionLostError
 
-    def reusable(self) -> bool:
+    def is_reusable(self) -> bool:
         return self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
 
 
 class Recorder:
-    """Appends a JSON line for each event that a tester counts, even after a kill."""
+    """Appends a JSON line per event to the record file.
+
+    Each line is flushed, so that tests can count events also after SIGKILL.
+    """
 
     def __init__(self, options: Options) -> None:
         self._file = options.record.open("a") if options.record else None
@@ -118,8 +121,8 @@
         self._file.write(json.dumps(line) + "\n")
         self._file.flush()
 
-    def admit(self, request: Request) -> None:
-        """Record a request whose work begins now."""
+    def record_run(self, request: Request) -> None:
+        """Record that a request begins to run."""
         self.add(
             "run",
             request_id=request.request_id,
@@ -133,9 +136,9 @@
 
 
 class Server:
-    """Serves a handler until a signal, announcing the stand-in meanwhile.
+    """Serves a handler and announces the stand-in until SIGTERM.
 
-    running counts the requests being worked on; the handler's side keeps it.
+    running is the number of requests in progress; the handler updates it.
     """
 
     def __init__(self, options: Options, handler: Handler) -> None:
@@ -143,24 +146,24 @@
         self.faults = Faults()
         self.recorder = Recorder(options)
         self.announcer = Announcer(
-            options, self.faults, lambda: self.running, self._note_accepted
+            options, self.faults, lambda: self.running, self._on_accepted
         )
         self._accepted = False
         self.running = 0
         self._handler = handler
         self._listener: Any = None
-        self._accepting: curio.Task | None = None
+        self._accept_task: curio.Task | None = None
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         return self.running >= self.options.limit
 
-    def _note_accepted(self) -> None:
+    def _on_accepted(self) -> None:
         if not self._accepted:
             self.recorder.add("accepted")
         self._accepted = True
 
     async def async_run(self) -> None:
-        """Serve until SIGTERM, then leave: finish the work in progress and end."""
+        """Serve until SIGTERM, then announce leaving, finish requests and return."""
         reader, writer = system_socket.socketpair()
         signal.signal(signal.SIGTERM, lambda *_: writer.send(b"x"))
         await self._async_open()
@@ -171,7 +174,7 @@
         await Socket(reader).recv(1)
         self.recorder.add("leaving")
         self.announcer.leaving = True
-        await self.announcer.changed.set()
+        await self.announcer.announce_now.set()
         earliest = time.monotonic() + self.options.leave_s
         while self.running or time.monotonic() < earliest:
             await curio.sleep(0.05)
@@ -180,14 +183,14 @@
     async def _async_open(self) -> None:
         address = parse_address(self.options.listen)
         self._listener = curio.tcp_server_socket(*address, backlog=1024)
-        self._accepting = await curio.spawn(
+        self._accept_task = await curio.spawn(
             self._async_accept, self._listener, daemon=True
         )
 
     async def _async_close(self) -> None:
-        if self._accepting is not None:
-            await self._accepting.cancel()
-            self._accepting = None
+        if self._accept_task is not None:
+            await self._accept_task.cancel()
+            self._accept_task = None
             await self._listener.close()
 
     async def _async_accept(self, listener: Any) -> None:
@@ -202,9 +205,9 @@
             try:
                 while (request := await connection.async_read()) is not None:
                     await self._async_handle(connection, request)
-                    if not connection.reusable():
+                    if not connection.is_reusable():
                         return
-            except (ConnectionLost, OSError, h11.ProtocolError):
+            except (ConnectionLostError, OSError, h11.ProtocolError):
                 return
 
     async def _async_handle(self, connection: Connection, request: Request) -> None:
@@ -217,11 +220,11 @@
         try:
             self.faults.set(json.loads(request.body or b"{}"))
         except ValueError as err:
-            await connection.async_answer(400, {"error": str(err)})
+            await connection.async_respond(400, {"error": str(err)})
             return
         if self.faults.refuse_connect:
             await self._async_close()
-        elif self._accepting is None:
+        elif self._accept_task is None:
             await self._async_open()
-        await self.announcer.changed.set()
-        await connection.async_answer(200, vars(self.faults))
+        await self.announcer.announce_now.set()
+        await connection.async_respond(200, vars(self.faults))
--- a/tests/bench/test_chaos.py
+++ b/tests/bench/test_chaos.py
@@ -1,17 +1,17 @@
-"""The counting of broken promises: each kind of fault must be seen."""
+"""Detection of violated guarantees: each kind of fault must be found."""
 
 import json
 
 import pytest
 
-from bench.chaos import faults_of
+from bench.chaos import find_faults
 from bench.client import Request, Result
-from standins import answers
+from standins import responses
 
 BODY = json.dumps({"request": "r1"}).encode()
 REQUEST = Request("POST", "/bonds", {}, BODY)
-WHOLE = answers.plain_answer("POST", "/bonds", BODY)
-OTHER = answers.plain_answer("POST", "/bonds", b"another")
+WHOLE = responses.plain_response("POST", "/bonds", BODY)
+OTHER = responses.plain_response("POST", "/bonds", b"another")
 
 
 def result(status: int = 200, outcome: str = "done", **changes: object) -> Result:
@@ -34,18 +34,18 @@
     ],
 )
 def test_faults(heard: Result, ran: int, faults: list[str]) -> None:
-    assert faults_of(REQUEST, [heard], ran) == faults
+    assert find_faults(REQUEST, [heard], ran) == faults
 
 
-def test_short_stream_with_its_end_mark_is_seen() -> None:
+def test_short_stream_with_an_end_marker_is_a_fault() -> None:
     body = json.dumps({"prompt": "a", "max_tokens": 3, "stream": True}).encode()
     request = Request("POST", "/v1/completions", {}, body)
-    texts = [answers.token("a", index) for index in range(3)]
+    texts = [responses.token("a", index) for index in range(3)]
     events = [
         b"data: " + json.dumps({"choices": [{"text": t}]}).encode() for t in texts
     ]
     end = [b"data: [DONE]"]
     whole = b"".join(event + b"\n\n" for event in events + end)
     short = b"".join(event + b"\n\n" for event in events[:2] + end)
-    assert faults_of(request, [result(body=whole)], 1) == []
-    assert len(faults_of(request, [result(body=short)], 1)) == 1
+    assert find_faults(request, [result(body=whole)], 1) == []
+    assert len(find_faults(request, [result(body=short)], 1)) == 1
--- a/tests/bench/test_run.py
+++ b/tests/bench/test_run.py
@@ -4,15 +4,15 @@
 
 from bench.arrivals import capacity
 from bench.baselines import BASELINES_BY_NAME
-from bench.engine import Upstream
-from bench.matrix import CASE_BASELINES_TAKE_IT_FOR, origin
-from bench.report import compare, report, verdicts
+from bench.engine import UpstreamModel
+from bench.matrix import EQUIVALENT_CASE_FOR_BASELINES, equivalent_spec
+from bench.report import compare, met_targets, report
 from bench.run import run, simulate
 from bench.schedulers import SCHEDULERS
 from bitterntiller.components.dispatch.models import Granted
 from tests.bench.builders import make_spec
 
-LASTING = ("useful", "gave-up-waiting", "gave-up-running", "refused")
+FINAL_OUTCOMES = ("useful", "gave-up-waiting", "gave-up-running", "refused")
 
 
 def without_time(measures):
@@ -24,40 +24,40 @@
 def test_every_request_ends_once(scheduler, case):
     hosts, _, _ = simulate(make_spec(scheduler=scheduler, case=case, load=1.5))
     outcomes = Counter(a.outcome for a in hosts.attempts_by_id.values())
-    assert set(outcomes) <= set(LASTING)
+    assert set(outcomes) <= set(FINAL_OUTCOMES)
     assert all(a.ended is not None for a in hosts.attempts_by_id.values())
     useful = [a for a in hosts.attempts_by_id.values() if a.outcome == "useful"]
-    assert len({a.ask.number for a in useful}) == len(useful) > 0
+    assert len({a.request.number for a in useful}) == len(useful) > 0
     assert all(a.ended <= a.deadline for a in useful)
 
 
-def test_nothing_is_left_in_the_upstreams():
+def test_upstreams_are_empty_after_a_run():
     hosts, _, _ = simulate(make_spec(load=3.0))
-    for station in hosts.stations_by_name.values():
-        assert station.upstream.jobs_by_id == {}
-        assert station.upstream.kv_used == 0
+    for upstream in hosts.upstreams_by_name.values():
+        assert upstream.model.jobs_by_id == {}
+        assert upstream.model.kv_used == 0
 
 
 @pytest.mark.parametrize("scheduler", SCHEDULERS)
-def test_same_seed_gives_the_same_run(scheduler):
+def test_same_seed_has_the_same_results(scheduler):
     spec = make_spec(scheduler=scheduler, case="lost-events", load=1.5)
     assert without_time(run(spec)) == without_time(run(spec))
 
 
-@pytest.mark.parametrize("case", sorted(CASE_BASELINES_TAKE_IT_FOR))
+@pytest.mark.parametrize("case", sorted(EQUIVALENT_CASE_FOR_BASELINES))
 @pytest.mark.parametrize("scheduler", BASELINES_BY_NAME)
-def test_runs_that_are_not_repeated_would_give_the_same(scheduler, case):
+def test_skipped_runs_would_have_the_same_results(scheduler, case):
     spec = make_spec(scheduler=scheduler, case=case, load=1.5)
-    same = {**without_time(run(origin(spec))), "case": case}
+    same = {**without_time(run(equivalent_spec(spec))), "case": case}
     assert same == without_time(run(spec))
 
 
-def test_other_seed_gives_another_run():
+def test_different_seeds_have_different_results():
     assert run(make_spec())["goodput"] != run(make_spec(seed=2))["goodput"]
 
 
 @pytest.mark.parametrize("pool", ["zaf-engines", "keskus-engines", "zaf-plain"])
-def test_least_outstanding_is_fine_at_a_fifth_of_capacity(pool):
+def test_least_outstanding_serves_nearly_all_at_a_fifth_of_capacity(pool):
     measures = run(make_spec(pool=pool, load=0.2, duration=80.0))
     for tier in measures["tiers"].values():
         assert tier["useful"] >= 0.97 * tier["offered"]
@@ -71,19 +71,19 @@
 
 def test_slowdown_reaches_the_upstream(monkeypatch):
     speeds = []
-    original = Upstream.set_speed
+    original = UpstreamModel.set_speed
 
-    def note(upstream, speed, now):
+    def record_speed(upstream, speed, now):
         speeds.append((upstream.profile.name, speed, now))
         original(upstream, speed, now)
 
-    monkeypatch.setattr(Upstream, "set_speed", note)
+    monkeypatch.setattr(UpstreamModel, "set_speed", record_speed)
     run(make_spec(case="slow-engine"))
     assert speeds == [("bole-1", 0.2, 12.0), ("bole-1", 1.0, 28.0)]
 
 
-class OneUpstream:
-    """Grants everything to an upstream that is not there any more for some."""
+class RecordingScheduler:
+    """A scheduler that grants every request to the newest announced upstream."""
 
     def __init__(self):
         self.calls = Counter()
@@ -108,14 +108,16 @@
         return now + 1.0
 
 
-def test_new_owner_hears_of_running_work_before_waiting_work():
-    """The owner's process dies in the middle of a run. Its requests go on in the
-    engines, and a new owner that did not know them would fill the engines twice.
-    The entry hosts tell it what runs before it takes what waits."""
+def test_new_owner_adopts_running_requests_before_waiting_ones():
+    """The owner's process is killed in the middle of a run.
+
+    Its requests continue in the engines, and a new owner that doesn't track them would
+    overcommit the engines. The entry hosts must register running requests first.
+    """
     schedulers = []
 
     def make():
-        schedulers.append(OneUpstream())
+        schedulers.append(RecordingScheduler())
         return schedulers[-1]
 
     simulate(make_spec(case="owner-killed"), make)
@@ -139,6 +141,6 @@
         if measures["load"] == 1.5 and measures["scheduler"] != "policy"
     )
     assert heavy.best_goodput.median == best
-    assert set(verdicts(light)) == {"light load"}
-    assert set(verdicts(heavy)) == {"top tier", "wasted", "goodput"}
+    assert set(met_targets(light)) == {"light load"}
+    assert set(met_targets(heavy)) == {"top tier", "wasted", "goodput"}
     assert "### zaf-engines" in report(results)
--- a/tests/cli/test_summary.py
+++ b/tests/cli/test_summary.py
@@ -1,4 +1,4 @@
-"""bitterntiller summary, on the logs of several hosts."""
+"""Tests of `bitterntiller summary` on the logs of several hosts."""
 
 from typing import Any
 
@@ -6,13 +6,20 @@
 
 from bitterntiller.cli import const, tool
 from bitterntiller.cli.errors import ToolError
-from bitterntiller.cli.log_summary import Reason, Refusals, Unused, summarize
-from bitterntiller.cli.quota_summary import QuotaUse
-from bitterntiller.cli.request_trace import read_lines
+from bitterntiller.cli.log_summary import (
+    RefusalReason,
+    RefusalStats,
+    UnusedUpstream,
+    summarize,
+)
+from bitterntiller.cli.quota_summary import QuotaDecisions
+from bitterntiller.cli.request_trace import read_events
 from tests.cli.test_explain import event, write_log
 
 
-def refused(time: float, waited: float, told: float | None = 1.0) -> dict[str, Any]:
+def refused(
+    time: float, waited: float, retry_after: float | None = 1.0
+) -> dict[str, Any]:
     return event(
         time,
         "edge-1",
@@ -22,7 +29,7 @@
         service="llm",
         tier="gold",
         waited=waited,
-        retry_after=told,
+        retry_after=retry_after,
     )
 
 
@@ -35,11 +42,11 @@
 def summed(tmp_path: Any, *events: dict[str, Any]) -> Any:
     path = write_log(tmp_path / "log", *events)
     with open(path, encoding="utf-8") as texts:
-        return summarize(read_lines(texts), 2.0)
+        return summarize(read_events(texts), 2.0)
 
 
 def test_ends_are_counted_by_spans_and_reasons(tmp_path):
-    """An operator sees refusals in a burst, and not which of many reasons they have."""
+    """Refusals come in bursts; the summary groups them by interval and reason."""
     found = summed(
         tmp_path,
         refused(15.0, 3.0, None),
@@ -51,13 +58,13 @@
         (0.0, {"done": 1, "failed": 1}),
         (4.0, {"refused quota": 2}),
     ]
-    reason = Reason("quota", "llm", "gold")
-    assert found.refusals_by_reason == {reason: Refusals(2, 3.0, 2.0, 0.5)}
+    reason = RefusalReason("quota", "llm", "gold")
+    assert found.refusals_by_reason == {reason: RefusalStats(2, 3.0, 2.0, 0.5)}
     assert found.failures_by_upstream == {"e2": 1}
 
 
 def test_steps_are_counted_from_the_last_start(tmp_path):
-    """Power was lost, and it is open which step of the way back took the time."""
+    """After a power loss the summary shows which startup step took the time."""
     found = summed(
         tmp_path,
         event(1.0, "core-1", "start"),
@@ -69,14 +76,14 @@
         event(51.9, "core-1", "lease"),
         event(3.0, "edge-9", "lease"),
     )
-    (start,) = found.starts
+    (start,) = found.host_starts
     assert start.host == "core-1"
     steps = {step: round(after, 3) for step, after in start.seconds_by_step.items()}
     assert steps == {"voters-answered": 0.1, "leading": 0.2, "lease": 0.9}
 
 
-def test_largest_requests_and_routes_are_counted_apart(tmp_path):
-    """A new route, or the largest requests, get next to nothing; all get nearly all."""
+def test_largest_requests_and_routes_are_counted_separately(tmp_path):
+    """A new route or the largest requests may starve while the total looks good."""
     lines = [
         {**ended(10.0 + n, "done"), "service": "llm", "tokens": n, "route": "first"}
         for n in range(18)
@@ -84,8 +91,8 @@
     for n in (1, 2):
         lines.append({**refused(40.0 + n, 0.1), "tokens": 900 + n, "route": "new"})
     found = {
-        part.which: (served.asked, served.served)
-        for part, served in summed(tmp_path, *lines).served_by_part.items()
+        part.group: (served.received, served.served)
+        for part, served in summed(tmp_path, *lines).served_by_group.items()
     }
     assert found == {
         "all": (20, 18),
@@ -95,8 +102,8 @@
     }
 
 
-def test_upstreams_without_work_are_named(tmp_path):
-    """Upstreams stand idle while requests wait, and only their owner knows why."""
+def test_unused_upstreams_are_listed_with_their_owner(tmp_path):
+    """Upstreams are idle while requests wait; only events of their owner say why."""
     found = summed(
         tmp_path,
         event(1.0, "core-1", "upstream-use", upstream="e1", change="usable"),
@@ -108,7 +115,7 @@
         event(63.0, "core-3", "upstream-use", upstream="e1", change="silent"),
         event(64.0, "core-3", "start"),
     )
-    assert found.unused == [Unused("core-1", "e1", "forgotten", 60.0)]
+    assert found.unused_upstreams == [UnusedUpstream("core-1", "e1", "forgotten", 60.0)]
 
 
 def test_command_prints_all_tables(tmp_path, capsys):
@@ -123,19 +130,21 @@
 
 
 @pytest.mark.parametrize("arguments", [["/no/such/file"], ["--span", "0", "/dev/null"]])
-def test_bad_input_is_told(arguments, capsys):
+def test_invalid_input_is_reported(arguments, capsys):
     assert tool.run(["summary", *arguments]) != const.EXIT_OK
     assert "bitterntiller:" in capsys.readouterr().err
 
 
-def test_file_without_lines_of_ours(tmp_path, capsys):
+def test_file_without_events(tmp_path, capsys):
     path = tmp_path / "empty"
     path.write_text("nothing\n")
     assert tool.run(["summary", str(path)]) == ToolError("").exit_code
-    assert "no line of ours" in capsys.readouterr().err
+    assert "no log events" in capsys.readouterr().err
 
 
-def decided(time: float, reserved: bool, left: int, **fields: Any) -> dict[str, Any]:
+def quota_event(
+    time: float, reserved: bool, left: int, **fields: Any
+) -> dict[str, Any]:
     return event(
         time,
         "core-1",
@@ -150,18 +159,18 @@
     )
 
 
-def test_decisions_at_quotas_are_summed_by_workspace(tmp_path, capsys):
-    """A workspace complains of refusals; an operator sees who counted, and what."""
+def test_quota_decisions_are_summarized_by_workspace(tmp_path, capsys):
+    """A refusal by quota does not say which host counted, nor how much was left."""
     path = write_log(
         tmp_path / "log",
-        decided(1.0, True, 800),
-        decided(1.1, False, 50, retry_reserved=True),
-        decided(1.2, False, 20, retry_reserved=False),
+        quota_event(1.0, True, 800),
+        quota_event(1.1, False, 50, retry_reserved=True),
+        quota_event(1.2, False, 20, retry_reserved=False),
         event(1.3, "core-1", "sampling", part=0.25, left_out=7),
     )
     with open(path, encoding="utf-8") as texts:
-        found = summarize(read_lines(texts), 2.0)
-    assert found.quotas == [QuotaUse("core-1", "wards", 3, 2, 1, 0.0, 0.02)]
+        found = summarize(read_events(texts), 2.0)
+    assert found.quotas == [QuotaDecisions("core-1", "wards", 3, 2, 1, 0.0, 0.02)]
     assert tool.run(["summary", path]) == const.EXIT_OK
     text = capsys.readouterr().out
     assert "wards core-1: 0.00 s, 0.02" in text
--- a/tests/components/crashes/test_coordinator.py
+++ b/tests/components/crashes/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Tests of how hosts find out about crashes and share them."""
+"""Tests of how hosts detect crashes and share them."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -17,7 +17,7 @@
 
 
 class Hosts:
-    """Several hosts whose links call each other's coordinators; one owns the pools."""
+    """Hosts whose links call each other's coordinators; one of them owns the pools."""
 
     def __init__(self, *names: str, owner: str) -> None:
         self.clock = ManualClock()
@@ -33,13 +33,13 @@
             self.start(name)
 
     def start(self, name: str) -> CrashCoordinator:
-        """Start a host, with nothing remembered."""
+        """Start a host with an empty history."""
         self._boots_by_name[name] = self._boots_by_name.get(name, 0) + 1
         runtime: Any = SimpleNamespace(
             settings=SimpleNamespace(
                 host=name,
                 keys=SimpleNamespace(internal=b"secret"),
-                listen=SimpleNamespace(reached_at=name),
+                listen=SimpleNamespace(peer_address=name),
             ),
             clock=self.clock,
             links=self,
@@ -69,7 +69,7 @@
 
     @asynccontextmanager
     async def running(self, *names: str) -> AsyncIterator[None]:
-        """Have hosts exchange update as long as the context lasts."""
+        """Let hosts exchange updates as long as the context lasts."""
         tasks = [
             await curio.spawn(self.coordinators_by_name[name].async_run)
             for name in names
@@ -81,7 +81,7 @@
                 await task.cancel()
 
     def counts(self) -> dict[str, int]:
-        """Return how many crashes each host knows of."""
+        """Return the number of crashes in each host's history."""
         return {
             name: coordinator.count(build.POISON, self.clock.now())
             for name, coordinator in self.coordinators_by_name.items()
@@ -108,36 +108,36 @@
         return address
 
 
-def test_reset_of_one_connection_is_no_crash():
+def test_reset_connection_is_not_a_crash():
     async def async_main() -> int:
         hosts = Hosts("a", owner="a")
         async with listening() as address:
             await hosts.coordinators_by_name["a"].async_check_crash(
                 sent(address), retrying=False
             )
-            await curio.sleep(2 * const.CONFIRM_SECONDS)
+            await curio.sleep(2 * const.PROBE_INTERVAL)
         return hosts.counts()["a"]
 
     assert curio.run(async_main) == 0
 
 
-def test_upstream_that_listens_again_at_once_has_not_crashed():
+def test_upstream_that_listens_again_immediately_has_not_crashed():
     async def async_main() -> int:
         hosts = Hosts("a", owner="a")
         address = await async_closed_address()
         await hosts.coordinators_by_name["a"].async_check_crash(
             sent(address), retrying=False
         )
-        await curio.sleep(const.CONFIRM_SECONDS / 2)
+        await curio.sleep(const.PROBE_INTERVAL / 2)
         port = int(address.rpartition(":")[2])
         async with curio.tcp_server_socket("127.0.0.1", port):
-            await curio.sleep(const.CONFIRM_SECONDS)
+            await curio.sleep(const.PROBE_INTERVAL)
         return hosts.counts()["a"]
 
     assert curio.run(async_main) == 0
 
 
-def test_each_host_hears_of_a_crash_from_the_owner():
+def test_owner_broadcasts_a_crash_to_each_host():
     async def async_main() -> dict[str, int]:
         hosts = Hosts("a", "b", "c", owner="b")
         address = await async_closed_address()
@@ -145,13 +145,13 @@
             await hosts.coordinators_by_name["a"].async_check_crash(
                 sent(address), retrying=False
             )
-            await curio.sleep(2 * const.CONFIRM_SECONDS)
+            await curio.sleep(2 * const.PROBE_INTERVAL)
         return hosts.counts()
 
     assert curio.run(async_main) == {"a": 1, "b": 1, "c": 1}
 
 
-def test_crash_while_the_owner_is_away_is_told_to_the_next_one():
+def test_crash_while_the_owner_is_down_is_reported_to_the_next_one():
     async def async_main() -> dict[str, int]:
         hosts = Hosts("a", "b", "c", owner="b")
         hosts.down.add("b")
@@ -161,13 +161,13 @@
             )
             await async_settle()
             hosts.owner_name = "c"
-            await curio.sleep(1.5 * const.OWNERS_PERIOD)
+            await curio.sleep(1.5 * const.OWNER_CHECK_PERIOD)
         return hosts.counts()
 
     assert curio.run(async_main) == {"a": 2, "b": 0, "c": 2}
 
 
-def test_owner_that_starts_with_nothing_is_told_all():
+def test_restarted_owner_gets_the_whole_history():
     async def async_main() -> dict[str, int]:
         hosts = Hosts("a", "b", owner="b")
         async with hosts.running("a"):
@@ -176,13 +176,13 @@
             )
             await async_settle()
             hosts.start("b")
-            await curio.sleep(1.5 * const.OWNERS_PERIOD)
+            await curio.sleep(1.5 * const.OWNER_CHECK_PERIOD)
         return hosts.counts()
 
     assert curio.run(async_main) == {"a": 3, "b": 3}
 
 
-def test_whole_answer_clears_a_request_on_all_hosts():
+def test_complete_response_clears_a_request_on_all_hosts():
     async def async_main() -> dict[str, int]:
         hosts = Hosts("a", "b", "c", owner="b")
         async with hosts.running("a", "b", "c"):
@@ -191,25 +191,25 @@
             )
             await async_settle()
             hosts.clock.advance(1.0)
-            await hosts.coordinators_by_name["a"].async_note_success(build.POISON)
+            await hosts.coordinators_by_name["a"].async_record_success(build.POISON)
             await async_settle()
         return hosts.counts()
 
     assert curio.run(async_main) == {"a": 0, "b": 0, "c": 0}
 
 
-def test_whole_answer_of_an_unsuspected_request_costs_no_message():
+def test_complete_response_to_an_unsuspected_request_causes_no_message():
     async def async_main() -> bool:
         hosts = Hosts("a", "b", owner="b")
         coordinator = hosts.coordinators_by_name["a"]
-        await coordinator.async_note_success(build.INNOCENT)
+        await coordinator.async_record_success(build.INNOCENT)
         return coordinator.history.snapshot(hosts.clock.now()).empty
 
     assert curio.run(async_main)
 
 
-def test_host_that_missed_what_the_owner_told_hears_it_later(monkeypatch):
-    monkeypatch.setattr(const, "SYNC_SECONDS", 0.3)
+def test_host_that_missed_a_broadcast_gets_it_later(monkeypatch):
+    monkeypatch.setattr(const, "SYNC_PERIOD", 0.3)
 
     async def async_main() -> dict[str, int]:
         hosts = Hosts("a", "b", "c", owner="b")
@@ -228,8 +228,8 @@
     assert curio.run(async_main) == {"a": 2, "b": 2, "c": 2}
 
 
-def test_hosts_that_know_the_same_exchange_no_more_than_a_digest(monkeypatch):
-    monkeypatch.setattr(const, "SYNC_SECONDS", 0.3)
+def test_hosts_with_equal_histories_exchange_only_digests(monkeypatch):
+    monkeypatch.setattr(const, "SYNC_PERIOD", 0.3)
 
     async def async_main() -> list[int]:
         hosts = Hosts("a", "b", owner="b")
@@ -249,7 +249,7 @@
     assert not any(sizes)
 
 
-def test_broken_answer_of_a_request_that_ends_keeps_nobody_waiting():
+def test_request_without_a_retry_does_not_wait_for_the_probe():
     async def async_main() -> float:
         hosts = Hosts("a", owner="a")
         coordinator = hosts.coordinators_by_name["a"]
@@ -259,10 +259,10 @@
         await coordinator.async_check_crash(sent(address), retrying=False)
         return await curio.clock() - begun
 
-    assert curio.run(async_main) < const.CONFIRM_SECONDS / 2
+    assert curio.run(async_main) < const.PROBE_INTERVAL / 2
 
 
-def test_request_that_is_sent_again_waits_until_its_last_allowed_crash_is_known():
+def test_retry_waits_for_the_probe_of_its_last_allowed_crash():
     async def async_main() -> int:
         hosts = Hosts("a", owner="a")
         coordinator = hosts.coordinators_by_name["a"]
--- a/tests/components/dispatch/test_objectives.py
+++ b/tests/components/dispatch/test_objectives.py
@@ -1,10 +1,10 @@
-"""Decisions for requests whose first output has an objective."""
+"""Decisions on requests with an objective for the first output."""
 
 from typing import Any
 
 import pytest
 
-from bitterntiller.components.dispatch import FED_PARAMETERS
+from bitterntiller.components.dispatch import REGISTERED_PARAMETERS
 from bitterntiller.components.dispatch.models import Decision, Granted, Refused
 from bitterntiller.components.dispatch.scheduler import PoolScheduler
 from bitterntiller.core.outcomes import Reason
@@ -14,208 +14,212 @@
 NOW = 1000.0
 
 
-def scheduler(**changes: Any) -> PoolScheduler:
-    made = PoolScheduler(FED_PARAMETERS._replace(**changes))
-    made.announce(upstream(slots=1), NOW)
-    return made
+def new_scheduler(**changes: Any) -> PoolScheduler:
+    scheduler = PoolScheduler(REGISTERED_PARAMETERS._replace(**changes))
+    scheduler.announce(upstream(slots=1), NOW)
+    return scheduler
 
 
 def ids(decisions: list[Decision], kind: type = Granted) -> list[str]:
     return [item.request_id for item in decisions if isinstance(item, kind)]
 
 
-def occupy(made: PoolScheduler, now: float = NOW) -> None:
-    assert ids(made.register(request("first"), now)) == ["first"]
-    made.started("first", now)
+def occupy(scheduler: PoolScheduler, now: float = NOW) -> None:
+    assert ids(scheduler.register(request("first"), now)) == ["first"]
+    scheduler.started("first", now)
 
 
 def test_all_slots_are_filled_while_work_waits():
-    """Requests wait for seconds beside engines that have free slots.
+    """Requests wait for seconds although engines have free slots.
 
-    Room that was kept for higher tiers, and a bound learned from latency, held a
-    third of the slots back though nothing that ran was in danger.
+    The headroom for higher tiers and the adaptive limit kept a third of the slots free,
+    although no running request was at risk.
     """
-    made = PoolScheduler(FED_PARAMETERS)
-    made.announce(upstream(slots=8), NOW)
+    scheduler = PoolScheduler(REGISTERED_PARAMETERS)
+    scheduler.announce(upstream(slots=8), NOW)
     granted = []
     for number in range(8):
         low = request(f"r{number}", tier_rank=2, prompt_tokens=1)
-        granted += ids(made.register(low, NOW))
+        granted += ids(scheduler.register(low, NOW))
     assert len(granted) == 8
 
 
-def test_late_request_goes_behind_those_that_can_still_be_in_time():
-    """In a burst of seconds everybody is served too late, one after the other.
+def test_late_request_is_demoted_behind_those_still_in_time():
+    """In a burst of a few seconds all requests miss their objective one by one.
 
-    What has missed its objective is worth less than what has not, and took its place.
+    A request that has missed its objective is worth less, and must not be served before
+    one that can still be in time.
     """
-    made = scheduler()
-    occupy(made)
+    scheduler = new_scheduler()
+    occupy(scheduler)
     late = request("late", first_by=NOW + 0.4, start_by=NOW + 9)
-    made.register(late, NOW)
-    made.tick(NOW + 0.5)
-    made.register(request("fresh", arrived=NOW + 0.5, first_by=NOW + 0.9), NOW + 0.5)
-    after = made.finished(completion("first"), NOW + 0.6)
+    scheduler.register(late, NOW)
+    scheduler.tick(NOW + 0.5)
+    scheduler.register(
+        request("fresh", arrived=NOW + 0.5, first_by=NOW + 0.9), NOW + 0.5
+    )
+    after = scheduler.finished(completion("first"), NOW + 0.6)
     assert ids(after) == ["fresh"]
-    made.started("fresh", NOW + 0.6)
-    assert ids(made.finished(completion("fresh"), NOW + 0.7)) == ["late"]
+    scheduler.started("fresh", NOW + 0.6)
+    assert ids(scheduler.finished(completion("fresh"), NOW + 0.7)) == ["late"]
 
 
-def test_large_request_keeps_its_place_as_long_as_a_small_one():
-    """Large requests are refused in a long queue, small ones behind them served."""
-    made = PoolScheduler(FED_PARAMETERS)
-    made.announce(upstream(slots=1), NOW)
+def test_large_request_is_demoted_no_sooner_than_a_small_one():
+    """In a long queue large requests are refused and small ones behind them served."""
+    scheduler = PoolScheduler(REGISTERED_PARAMETERS)
+    scheduler.announce(upstream(slots=1), NOW)
     for number in range(20):
         asked = request(f"r{number}", first_by=NOW + 0.4, start_by=NOW + 9)
-        assert ids(made.register(asked, NOW)) == [f"r{number}"]
-        made.started(f"r{number}", NOW)
-        made.finished(completion(f"r{number}", output_tokens=1), NOW)
-    occupy(made)
+        assert ids(scheduler.register(asked, NOW)) == [f"r{number}"]
+        scheduler.started(f"r{number}", NOW)
+        scheduler.finished(completion(f"r{number}", output_tokens=1), NOW)
+    occupy(scheduler)
     terms = {"first_by": NOW + 1.0, "start_by": NOW + 9}
-    made.register(request("large", prompt_tokens=2000, **terms), NOW)
-    made.register(request("small", **terms), NOW)
-    made.tick(NOW + 0.8)
-    assert ids(made.finished(completion("first"), NOW + 0.8)) == ["large"]
+    scheduler.register(request("large", prompt_tokens=2000, **terms), NOW)
+    scheduler.register(request("small", **terms), NOW)
+    scheduler.tick(NOW + 0.8)
+    assert ids(scheduler.finished(completion("first"), NOW + 0.8)) == ["large"]
 
 
-def test_long_output_that_just_fits_is_sent_beside_other_work():
-    """Requests with long outputs are passed over until they are late."""
-    made = PoolScheduler(FED_PARAMETERS)
-    made.announce(upstream(slots=2), NOW)
-    occupy(made)
+def test_long_output_that_just_fits_is_granted_beside_other_work():
+    """Requests with long outputs are skipped until they are too late."""
+    scheduler = PoolScheduler(REGISTERED_PARAMETERS)
+    scheduler.announce(upstream(slots=2), NOW)
+    occupy(scheduler)
     long = request("long", output_tokens=2000)
-    (granted,) = made.register(long, NOW)
-    made.cancel("long", NOW)
+    (granted,) = scheduler.register(long, NOW)
+    scheduler.cancel("long", NOW)
     deadline = NOW + 1.05 * granted.basis.expected
-    assert ids(made.register(long._replace(deadline=deadline), NOW)) == ["long"]
+    assert ids(scheduler.register(long._replace(deadline=deadline), NOW)) == ["long"]
 
 
-def test_late_request_that_will_not_be_reached_is_refused_at_once():
-    """A request waits for seconds behind its tier, and is refused all the same."""
-    made = scheduler()
-    occupy(made)
-    made.register(request("late", first_by=NOW + 0.4, start_by=NOW + 4), NOW)
-    made.tick(NOW + 0.5)
+def test_demoted_request_without_a_chance_is_refused_at_once():
+    """A demoted request waits for seconds behind its tier and is refused in the end."""
+    scheduler = new_scheduler()
+    occupy(scheduler)
+    scheduler.register(request("late", first_by=NOW + 0.4, start_by=NOW + 4), NOW)
+    scheduler.tick(NOW + 0.5)
     for number in range(40):
         terms = {"first_by": NOW + 90, "start_by": NOW + 99, "deadline": NOW + 120}
-        made.register(request(f"r{number}", arrived=NOW + 0.5, **terms), NOW + 0.5)
-    assert ids(made.tick(NOW + 0.8), Refused) == ["late"]
+        scheduler.register(request(f"r{number}", arrived=NOW + 0.5, **terms), NOW + 0.5)
+    assert ids(scheduler.tick(NOW + 0.8), Refused) == ["late"]
 
 
-def test_late_request_is_refused_at_once_also_beside_a_lower_tier():
-    """Requests of a middle tier wait in vain for seconds beside a lower one."""
-    made = scheduler(lower_share=0.0)
-    occupy(made)
+def test_demoted_request_is_refused_at_once_even_with_a_lower_tier():
+    """Demoted requests of a middle tier wait in vain while a lower tier waits, too."""
+    scheduler = new_scheduler(lower_share=0.0)
+    occupy(scheduler)
     late = {"first_by": NOW + 0.4, "start_by": NOW + 4}
-    made.register(request("late", tier_rank=1, **late), NOW)
+    scheduler.register(request("late", tier_rank=1, **late), NOW)
     early = {"first_by": NOW + 90, "start_by": NOW + 99, "deadline": NOW + 120}
-    made.register(request("low", tier_rank=2, **early), NOW)
-    made.tick(NOW + 0.5)
+    scheduler.register(request("low", tier_rank=2, **early), NOW)
+    scheduler.tick(NOW + 0.5)
     for number in range(40):
-        made.register(request(f"r{number}", arrived=NOW + 0.5, **early), NOW + 0.5)
-    assert ids(made.tick(NOW + 0.8), Refused) == ["late"]
+        scheduler.register(request(f"r{number}", arrived=NOW + 0.5, **early), NOW + 0.5)
+    assert ids(scheduler.tick(NOW + 0.8), Refused) == ["late"]
 
 
-def test_late_request_goes_before_a_lower_tier():
-    made = scheduler(lower_share=0.0)
-    occupy(made)
-    made.register(request("late", first_by=NOW + 0.4, start_by=NOW + 9), NOW)
-    made.tick(NOW + 0.5)
+def test_demoted_request_goes_before_a_lower_tier():
+    scheduler = new_scheduler(lower_share=0.0)
+    occupy(scheduler)
+    scheduler.register(request("late", first_by=NOW + 0.4, start_by=NOW + 9), NOW)
+    scheduler.tick(NOW + 0.5)
     lower = request("lower", tier_rank=1, arrived=NOW + 0.5, first_by=NOW + 0.9)
-    made.register(lower, NOW + 0.5)
-    assert ids(made.finished(completion("first"), NOW + 0.6)) == ["late"]
+    scheduler.register(lower, NOW + 0.5)
+    assert ids(scheduler.finished(completion("first"), NOW + 0.6)) == ["late"]
 
 
-def test_request_is_refused_when_its_caller_is_about_to_leave():
-    """A caller leaves without an answer, and hears nothing of when to come back.
+def test_request_is_refused_before_its_caller_gives_up():
+    """A caller gives up without a response and gets no Retry-After.
 
-    Its request could still have ended before its deadline, but nobody waits so long
-    for the first output.
+    The request could still end before its deadline, but the caller doesn't wait that
+    long for the first output.
     """
-    made = scheduler()
-    occupy(made)
-    made.register(request("waits", first_by=NOW + 0.4, start_by=NOW + 3), NOW)
+    scheduler = new_scheduler()
+    occupy(scheduler)
+    scheduler.register(request("waits", first_by=NOW + 0.4, start_by=NOW + 3), NOW)
     decisions: list[Decision] = []
     now = NOW
     while now < NOW + 3.0:
         now += 0.05
-        decisions += made.tick(now)
+        decisions += scheduler.tick(now)
     assert ids(decisions, Refused) == ["waits"]
     assert decisions[0].reason == Reason.TOO_LATE
 
 
-def test_refusal_does_not_wait_for_the_next_round_of_looks():
-    """A caller leaves a moment before it would have been told when to come back.
+def test_refusal_is_not_delayed_by_a_better_prefill_estimate():
+    """A caller gives up shortly before it would have received its refusal.
 
-    What was known of the fastest prefill had become better since the look was planned,
-    so that the time had not quite come, and the next look was a quarter second later.
+    The estimate of the fastest prefill had improved since the check was scheduled. The
+    request was then not quite too late, and the next check came 0.25 s later.
     """
-    made = scheduler()
-    occupy(made)
+    scheduler = new_scheduler()
+    occupy(scheduler)
     waits = request("waits", prompt_tokens=400, first_by=NOW + 0.4, start_by=NOW + 3)
-    made.register(waits, NOW)
-    speed = made._pool.upstreams_by_name["engine-1"].speed
+    scheduler.register(waits, NOW)
+    speed = scheduler._pool.upstreams_by_name["engine-1"].speed
     decisions: list[Decision] = []
     now = NOW
     while now < NOW + 2.85:
-        now = min(max(made.next_wake(now), now + 0.001), NOW + 2.85)
-        made.progress("first", int((now - NOW) * 100) + 1, now)
+        now = min(max(scheduler.next_wake(now), now + 0.001), NOW + 2.85)
+        scheduler.progress("first", int((now - NOW) * 100) + 1, now)
         if now > NOW + 2.3:
-            speed.learn_first(0, expected=0.1, seen=0.09)
-        decisions += made.tick(now)
+            speed.learn_prefill(0, expected=0.1, measured=0.09)
+        decisions += scheduler.tick(now)
     assert ids(decisions, Refused) == ["waits"]
 
 
 def test_lower_tier_keeps_a_small_share():
-    """Short calls of the lowest tier get no service at all in a long overload."""
-    made = scheduler(lower_share=0.5)
-    occupy(made)
-    made.register(request("middle", tier_rank=1), NOW)
-    made.register(request("low", tier_rank=2), NOW)
-    made.tick(NOW + 0.05)
-    after = made.finished(completion("first"), NOW + 0.1)
+    """Short calls of the lowest tier are never served in a long overload."""
+    scheduler = new_scheduler(lower_share=0.5)
+    occupy(scheduler)
+    scheduler.register(request("middle", tier_rank=1), NOW)
+    scheduler.register(request("low", tier_rank=2), NOW)
+    scheduler.tick(NOW + 0.05)
+    after = scheduler.finished(completion("first"), NOW + 0.1)
     assert ids(after) == ["low"]
 
 
-def test_silent_upstream_is_used_only_while_its_answers_come():
-    """An engine that is cut off from control only gets no work, or a dead one does."""
-    made = scheduler()
-    occupy(made)
-    made.progress("first", 5, NOW + 1)
-    made.announce(upstream(slots=1, sequence=2, silent=True), NOW + 1)
-    assert ids(made.finished(completion("first"), NOW + 1.2)) == []
-    assert ids(made.register(request("soon"), NOW + 1.3)) == ["soon"]
-    made.cancel("soon", NOW + 1.4)
-    assert ids(made.register(request("later"), NOW + 9)) == []
+def test_silent_upstream_is_used_only_while_it_responds():
+    """An engine cut off only from control gets no requests, or a dead one gets some."""
+    scheduler = new_scheduler()
+    occupy(scheduler)
+    scheduler.progress("first", 5, NOW + 1)
+    scheduler.announce(upstream(slots=1, sequence=2, silent=True), NOW + 1)
+    assert ids(scheduler.finished(completion("first"), NOW + 1.2)) == []
+    assert ids(scheduler.register(request("soon"), NOW + 1.3)) == ["soon"]
+    scheduler.cancel("soon", NOW + 1.4)
+    assert ids(scheduler.register(request("later"), NOW + 9)) == []
 
 
-def test_repeated_failures_make_an_upstream_pause():
-    """An engine that fails what it runs, beside a good health probe, gets it all."""
-    made = scheduler()
+def test_repeated_failures_pause_an_upstream():
+    """An engine that fails requests but passes health probes attracts them all."""
+    scheduler = new_scheduler()
     for number in range(3):
         name = f"r{number}"
-        assert ids(made.register(request(name), NOW)) == [name]
-        made.started(name, NOW)
-        made.returned(name, "failed", False, NOW)
-    assert ids(made.register(request("next"), NOW)) == []
+        assert ids(scheduler.register(request(name), NOW)) == [name]
+        scheduler.started(name, NOW)
+        scheduler.returned(name, "failed", False, NOW)
+    assert ids(scheduler.register(request("next"), NOW)) == []
 
 
-@pytest.mark.parametrize("told", [True, False])
-def test_prefill_is_learned_from_when_the_first_output_came(told):
-    """Long prompts are refused as late beside engines that do nothing.
+@pytest.mark.parametrize("reported", [True, False])
+def test_prefill_is_learned_from_the_time_of_the_first_output(reported):
+    """Long prompts are refused as too late although engines are idle.
 
-    An engine reads 6,000 tokens in a tenth of a second. The owner hears of the output
-    of streams twice a second only, took that for the end of the prefill, and believed
-    after some requests that a prompt of 37,000 takes nine seconds.
+    An engine prefills 6,000 tokens in a tenth of a second. The output of streams is
+    reported to the owner only twice a second. The owner took the time of the report for
+    the end of the prefill, and after some requests expected nine seconds for a prompt
+    of 37,000 tokens.
     """
-    made = PoolScheduler(FED_PARAMETERS)
-    made.announce(upstream(slots=8), NOW)
+    scheduler = PoolScheduler(REGISTERED_PARAMETERS)
+    scheduler.announce(upstream(slots=8), NOW)
     for number in range(40):
         now = NOW + number
-        made.register(request(f"r{number}", prompt_tokens=6000), now)
-        made.started(f"r{number}", now)
-        made.progress(f"r{number}", 20, now + 0.4, 0.11 if told else None)
-        made.finished(completion(f"r{number}"), now + 0.9)
-    [engine] = made._pool.upstreams_by_name.values()
+        scheduler.register(request(f"r{number}", prompt_tokens=6000), now)
+        scheduler.started(f"r{number}", now)
+        scheduler.progress(f"r{number}", 20, now + 0.4, 0.11 if reported else None)
+        scheduler.finished(completion(f"r{number}"), now + 0.9)
+    [engine] = scheduler._pool.upstreams_by_name.values()
     seconds = engine.speed.prefill_seconds(6000, 0)
-    assert (seconds < 0.15) == told
+    assert (seconds < 0.15) == reported
--- a/tests/components/dispatch/test_queue.py
+++ b/tests/components/dispatch/test_queue.py
@@ -1,12 +1,12 @@
-"""Order between tiers, workspaces and sizes."""
+"""Order of requests between workspaces and by size."""
 
 from collections import Counter
 
 from bitterntiller.components.dispatch.jobs import Job
-from bitterntiller.components.dispatch.limits import WorkspaceLimiter
 from bitterntiller.components.dispatch.models import PolicyParameters, WorkspaceLimits
 from bitterntiller.components.dispatch.ordering import new_ordering
 from bitterntiller.components.dispatch.queue import PoolQueue
+from bitterntiller.components.dispatch.workspace_limiter import WorkspaceLimiter
 
 from .builders import request
 
@@ -16,7 +16,7 @@
     limiter.set_limits({name: WorkspaceLimits(share=s) for name, s in shares.items()})
     queue = PoolQueue(True, limiter)
     for job in jobs:
-        job.group = (None, frozenset(), 0)
+        job.group_key = (None, frozenset(), 0)
         queue.push(job)
     return queue
 
@@ -32,15 +32,15 @@
 
 
 def job(number, workspace, work=1.0):
-    made = Job(request(f"r{number}", workspace=workspace), number, 0.0)
-    made.work = work
-    return made
+    created = Job(request(f"r{number}", workspace=workspace), number, 0.0)
+    created.work = work
+    return created
 
 
-def test_a_large_workspace_does_not_keep_a_small_one_waiting():
-    """One workspace has a hundred requests waiting when another's ten arrive.
+def test_large_workspace_does_not_delay_a_small_one():
+    """A workspace has 100 requests waiting when the 10 of another one arrive.
 
-    First come, first served would let the ten wait for the hundred.
+    With first come, first served the 10 would wait for the 100.
     """
     jobs = [job(number, "large") for number in range(100)]
     jobs += [job(number, "small") for number in range(100, 110)]
@@ -55,7 +55,7 @@
     assert 38 <= first["double"] <= 42
 
 
-def test_long_work_is_overtaken_only_for_a_while():
+def test_long_work_is_overtaken_for_a_limited_time():
     ordering = new_ordering(PolicyParameters(ageing=2.0))
     long = job(0, "foresters", work=10.0)
     early, late = job(1, "foresters"), job(2, "foresters")
--- a/tests/components/replication/checker.py
+++ b/tests/components/replication/checker.py
@@ -1,4 +1,4 @@
-"""What must hold after each step of a schedule."""
+"""Safety properties that must hold after each step of a schedule."""
 
 from typing import Any
 
@@ -7,30 +7,30 @@
 
 
 class ViolationError(AssertionError):
-    """Raised when a promise of the log is broken."""
+    """Raised when a safety property of the log is violated."""
 
 
 class StuckError(ViolationError):
-    """Raised when nothing is committed after all faults have ended."""
+    """Raised when nothing is committed after all faults have ended (liveness)."""
 
 
 class Checker:
-    """All that any replica has been seen to commit, append or lead."""
+    """Leaders, entries and commits observed on any replica so far."""
 
     def __init__(self) -> None:
         self.leader_by_term: dict[int, str] = {}
         self.entry_by_place: dict[tuple[int, int], tuple[Entry, int]] = {}
         self.committed: dict[int, Entry] = {}
         self.term_of_commit: dict[int, int] = {}
-        self.chain_by_index: dict[int, int] = {0: 0}
+        self.state_hash_by_index: dict[int, int] = {0: 0}
 
     def last_committed(self) -> int:
         """Return the highest index known to be committed."""
         return max(self.committed, default=0)
 
-    def chain(self, node: Any) -> None:
-        known = self.chain_by_index.setdefault(node.applied, node.chain)
-        if known != node.chain:
+    def check_state_hash(self, node: Any) -> None:
+        known = self.state_hash_by_index.setdefault(node.applied, node.state_hash)
+        if known != node.state_hash:
             raise ViolationError(f"two states after entry {node.applied}")
 
     def check(self, node: Any) -> None:
--- a/tests/components/replication/test_directed.py
+++ b/tests/components/replication/test_directed.py
@@ -1,136 +1,136 @@
-"""Orders of events that chance seldom finds, with their guard and without it."""
+"""Schedules that random search rarely finds, run with and without their guard."""
 
 import pytest
 
 from . import mutations
 from .checker import ViolationError
-from .explorer import World
-from .script import drain, elect, settle, tick, world_of
+from .explorer import Simulation
+from .script import drain, elect, make_simulation, settle, tick
 
 
 def vote_forgotten() -> None:
-    """Two hosts answer operators as leader of one term and both accept changes.
+    """Two hosts lead the same term, and both accept operators' changes.
 
-    c votes for b, its reply leaves, and c loses power before the vote is on its
-    disk. It starts again, hears only a, and votes for a in the same term.
+    c votes for b, sends its reply, and loses power before the vote is synced. It
+    restarts, reaches only a, and votes for a in the same term.
     """
-    world = world_of("abc")
-    elect(world, "b", "bc", syncing="b")
-    restart(world, "c")
-    settle(world, "ac")
-    assert elect(world, "a", "ac")
+    simulation = make_simulation("abc")
+    elect(simulation, "b", "bc", syncing="b")
+    restart(simulation, "c")
+    settle(simulation, "ac")
+    assert elect(simulation, "a", "ac")
 
 
-def told_to_a_and_b(syncing: str) -> World:
-    """Return a world led by a, whose change reaches b; one of the two syncs it."""
-    world = world_of("abc")
-    assert elect(world, "a", "abc")
-    settle(world, "abc")
-    world.nodes["a"].replica.propose(b"x")
-    world.after(world.nodes["a"])
-    drain(world, "ab", syncing=syncing)
-    return world
+def replicated_to_a_and_b(syncing: str) -> Simulation:
+    """Return a simulation led by a, whose entry reaches b; only syncing syncs it."""
+    simulation = make_simulation("abc")
+    assert elect(simulation, "a", "abc")
+    settle(simulation, "abc")
+    simulation.nodes["a"].replica.propose(b"x")
+    simulation.apply_effects(simulation.nodes["a"])
+    drain(simulation, "ab", syncing=syncing)
+    return simulation
 
 
 def acknowledgement_forgotten() -> None:
-    """A change that an operator saw accepted is gone after a power loss.
+    """A change that was reported as accepted is lost after a power loss.
 
-    b acknowledges it before it is on its disk, so a accepts it; b loses power,
-    starts again and meets only c, which had been cut off.
+    b acknowledges it before it is synced, so a commits it; b loses power, restarts
+    and reaches only c, which had been partitioned.
     """
-    world = told_to_a_and_b(syncing="a")
-    restart(world, "b")
-    settle(world, "bc")
-    assert elect(world, "c", "bc")
+    simulation = replicated_to_a_and_b(syncing="a")
+    restart(simulation, "b")
+    settle(simulation, "bc")
+    assert elect(simulation, "c", "bc")
 
 
 def own_entry_forgotten() -> None:
-    """The same when the leader's own disk is the slow one.
+    """The same loss if the leader's own disk is the slow one.
 
-    a counts its own unsynced copy beside b's and accepts; it loses power, starts
-    again and meets only c.
+    a counts its own unsynced copy together with b's and commits; it loses power,
+    restarts and reaches only c.
     """
-    world = told_to_a_and_b(syncing="b")
-    restart(world, "a")
-    settle(world, "ac")
-    assert elect(world, "c", "ac")
+    simulation = replicated_to_a_and_b(syncing="b")
+    restart(simulation, "a")
+    settle(simulation, "ac")
+    assert elect(simulation, "c", "ac")
 
 
-def restart(world: World, host: str) -> None:
-    node = world.nodes[host]
+def restart(simulation: Simulation, host: str) -> None:
+    node = simulation.nodes[host]
     node.replica, node.write = None, None
-    world.start(node)
+    simulation.start(node)
 
 
 def old_entry_counted() -> None:
-    """An operator's accepted change is gone after two changes of leader.
+    """An accepted change is lost after two changes of leader (figure 8 of the paper).
 
     a's entry reaches a quorum only in a later term of a; b, which holds an entry
     of a term in between, is then elected and overwrites it.
     """
-    world = world_of("abc")
-    a = world.nodes["a"]
-    assert elect(world, "a", "abc")
-    settle(world, "abc")
+    simulation = make_simulation("abc")
+    a = simulation.nodes["a"]
+    assert elect(simulation, "a", "abc")
+    settle(simulation, "abc")
     a.replica.propose(b"x")
-    world.after(a)
-    drain(world, "a")
+    simulation.apply_effects(a)
+    drain(simulation, "a")
     index = a.replica.state.log.last_index
-    assert elect(world, "b", "bc")
-    drain(world, "b")
-    assert elect(world, "a", "ac")
-    tick(world, "a")
+    assert elect(simulation, "b", "bc")
+    drain(simulation, "b")
+    assert elect(simulation, "a", "ac")
+    tick(simulation, "a")
     progress = a.replica.state.progress_by_replica["c/1"]
-    drain(world, "ac", lambda: progress.match >= index)
+    drain(simulation, "ac", lambda: progress.match >= index)
     assert progress.match == index
-    assert elect(world, "b", "bc")
+    assert elect(simulation, "b", "bc")
 
 
 def two_histories_of_members() -> None:
-    """Two halves of control each accept changes, and one half's are lost.
+    """Two halves of control each accept changes, and those of one half are lost.
 
-    a removes d but reaches nobody; b is elected and at once removes a. The two
-    memberships share no quorum: {a, c} and {b, d} both decide.
+    a removes d but reaches no other host; b is elected and removes a at once. Quorums
+    of the two memberships don't overlap: {a, c} and {b, d} both commit.
     """
-    world = world_of("abcd")
-    assert elect(world, "a", "abcd")
-    settle(world, "abcd")
-    remove(world, "a", "d")
-    drain(world, "a")
-    assert elect(world, "b", "bcd")
-    remove(world, "b", "a")
+    simulation = make_simulation("abcd")
+    assert elect(simulation, "a", "abcd")
+    settle(simulation, "abcd")
+    remove(simulation, "a", "d")
+    drain(simulation, "a")
+    assert elect(simulation, "b", "bcd")
+    remove(simulation, "b", "a")
     for _ in range(3):
-        tick(world, "b")
-        drain(world, "bd")
-    assert elect(world, "a", "ac")
+        tick(simulation, "b")
+        drain(simulation, "bd")
+    assert elect(simulation, "a", "ac")
 
 
 def disk_lost_after_commit() -> None:
-    """A change that an operator saw accepted is gone.
+    """A change that was reported as accepted is lost.
 
-    a and b have committed it, c was cut off. b comes back with an empty disk and
-    meets c only; if b voted under its old name, c would lead without it.
+    a and b have committed it while c was partitioned. b restarts with an empty disk
+    and reaches only c; if b voted under its old identity, c would lead without it.
     """
-    world = world_of("abc")
-    assert elect(world, "a", "abc")
-    settle(world, "abc")
-    world.nodes["a"].replica.propose(b"x")
-    world.after(world.nodes["a"])
-    settle(world, "ab")
-    world.new_identity(world.nodes["b"])
-    settle(world, "bc")
-    assert not elect(world, "c", "bc")
-
-
-def remove(world: World, leader: str, host: str) -> None:
-    node = world.nodes[leader]
+    simulation = make_simulation("abc")
+    assert elect(simulation, "a", "abc")
+    settle(simulation, "abc")
+    simulation.nodes["a"].replica.propose(b"x")
+    simulation.apply_effects(simulation.nodes["a"])
+    settle(simulation, "ab")
+    simulation.new_identity(simulation.nodes["b"])
+    settle(simulation, "bc")
+    assert not elect(simulation, "c", "bc")
+
+
+def remove(simulation: Simulation, leader: str, host: str) -> None:
+    node = simulation.nodes[leader]
     members = node.replica.state.members.all
     node.replica.change_members([m for m in members if m.host != host], node.clock)
-    world.after(node)
+    simulation.apply_effects(node)
 
 
 CASES = (
-    (vote_forgotten, mutations.vote_told_before_sync, "two leaders"),
+    (vote_forgotten, mutations.vote_reply_before_sync, "two leaders"),
     (
         acknowledgement_forgotten,
         mutations.no_sync_before_acknowledgement,
@@ -147,10 +147,10 @@
 )
 
 
-@pytest.mark.parametrize(("story", "mutation", "violation"), CASES)
-def test_the_guard_holds_and_is_needed(story, mutation, violation, monkeypatch):
-    """Each story passes with its guard; without it a promise is seen broken."""
-    story()
+@pytest.mark.parametrize(("schedule", "mutation", "violation"), CASES)
+def test_each_schedule_needs_its_guard(schedule, mutation, violation, monkeypatch):
+    """Each schedule passes with its guard and violates safety without it."""
+    schedule()
     mutation(monkeypatch)
     with pytest.raises(ViolationError, match=violation):
-        story()
+        schedule()
--- a/tests/components/replication/test_stalled.py
+++ b/tests/components/replication/test_stalled.py
@@ -1,30 +1,30 @@
-"""A replica whose disk stalls."""
+"""Replica whose disk stalls."""
 
 import random
 
 from bitterntiller.components.replication.core import Replica
 from bitterntiller.components.replication.models import Member, Tuning
-from bitterntiller.components.replication.state import Role, initial
+from bitterntiller.components.replication.state import Role, initial_persistent_state
 
 
 def leader() -> Replica:
-    replica = Replica(initial("a/1"), Tuning(), random.Random(1), 0.0)
-    replica.form([Member("a/1", "a", "127.0.0.1:1", True)])
+    replica = Replica(initial_persistent_state("a/1"), Tuning(), random.Random(1), 0.0)
+    replica.bootstrap([Member("a/1", "a", "127.0.0.1:1", True)])
     now = 0.0
     while replica.state.role is not Role.LEADER:
         now += 0.1
         replica.tick(now)
-        effects = replica.take(now)
+        effects = replica.take_effects(now)
         if effects.persist is not None:
             replica.persisted(effects.persist.number, now)
     return replica
 
 
-def test_leader_whose_disk_stalls_gives_its_lead_up():
-    """The leader's disk answers nothing for seconds, and no change is acknowledged.
+def test_leader_with_a_stalled_disk_steps_down():
+    """The leader's disk stalls for seconds, and no change is acknowledged.
 
-    The other replicas have sound disks and hold each entry, but only the leader
-    answers, and it applies what its own disk holds. It must make room for another.
+    The other replicas have healthy disks and hold each entry, but only the leader
+    replies to callers, and it applies only what its own disk holds. It must step down.
     """
     replica = leader()
     assert replica.set_stalled(True, 5.0)
--- a/tests/platform/builders.py
+++ b/tests/platform/builders.py
@@ -1,4 +1,4 @@
-"""Data of the platform for tests: documents, requests and an entry host."""
+"""Builders of the platform's documents and requests, and of an entry host."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -6,12 +6,12 @@
 
 import curio
 from bitterntiller_platform.configuration import parse_configuration
-from bitterntiller_platform.interface import PlatformInterface
+from bitterntiller_platform.dialect import PlatformDialect
 
-from bitterntiller.components.entry.answer_times import AnswerTimes
-from bitterntiller.components.entry.claiming import Claimant
+from bitterntiller.components.entry.claiming import ClaimClient
 from bitterntiller.components.entry.context import Context, QuotaGate
 from bitterntiller.components.entry.coordinator import EntryCoordinator
+from bitterntiller.components.entry.response_times import ResponseTimes
 from bitterntiller.components.http.pool import ConnectionPool
 from bitterntiller.components.node.models import Host
 from bitterntiller.components.settings.models import Limits, Timings
@@ -87,7 +87,7 @@
 LAST_CHUNK = b"0\r\n\r\n"
 
 
-def answer(body: bytes, status: bytes = b"200 OK", *lines: bytes) -> bytes:
+def response(body: bytes, status: bytes = b"200 OK", *lines: bytes) -> bytes:
     head = [
         b"HTTP/1.1 " + status,
         b"X-Attempt-Id: a1",
@@ -99,7 +99,7 @@
 
 
 Upstream = Callable[[Any, bytes, int], Awaitable[None]]
-"""Answers a request: the socket, the request, and how many came before it."""
+"""Responds to a request; gets the socket, the request and its index from 0."""
 
 
 class _Directory:
@@ -110,7 +110,7 @@
 
 
 class _GrantingLinks:
-    """Grants each registration at once."""
+    """Fake links that grant each registration at once."""
 
     def __init__(self, address: str) -> None:
         self.sent: list[Any] = []
@@ -154,7 +154,7 @@
     context: Context
 
     async def async_ask(self, data: bytes) -> bytes:
-        """Send a request; return all that comes until the host is silent."""
+        """Send a request; return data until the last chunk, a close or a timeout."""
         sock = await curio.open_connection("127.0.0.1", self.port)
         received = b""
         async with sock:
@@ -194,7 +194,7 @@
     configuration: dict[str, Any] | None = None,
     quota: QuotaGate | None = None,
 ) -> AsyncIterator[EntryHost]:
-    """Serve callers of the platform with one upstream behind."""
+    """Run an entry host of the platform with one upstream."""
     async with AsyncExitStack() as stack:
         listener = curio.tcp_server_socket("127.0.0.1", 0)
         stack.push_async_callback(listener.close)
@@ -203,7 +203,7 @@
         stack.push_async_callback(task.cancel)
         links = _GrantingLinks(f"127.0.0.1:{listener.getsockname()[1]}")
         clock = RuntimeClock()
-        connections = ConnectionPool(clock, most_idle=2, accept_close=True)
+        connections = ConnectionPool(clock, max_idle=2, allow_close_delimited=True)
         stack.push_async_callback(connections.async_close)
         config = parse_configuration(configuration or document(), 1)
         context = Context(
@@ -216,12 +216,12 @@
             config=_ConfigView(config),
             directory=_Directory(),
             control=fakes.FakeControl(),
-            interface=PlatformInterface(),
+            dialect=PlatformDialect(),
             connections=connections,
             quota=quota,
-            answer_times=AnswerTimes(),
+            response_times=ResponseTimes(),
         )
-        coordinator = EntryCoordinator(context, Limits(), Claimant(context, "i1"))
+        coordinator = EntryCoordinator(context, Limits(), ClaimClient(context, "i1"))
         links.coordinator = coordinator
         served = serving(coordinator.pipeline.async_serve)
         _, port = await stack.enter_async_context(served)
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,7 +1,7 @@
-"""Numbers in headers that other programs have written."""
+"""Tests of numbers in headers from callers and upstreams."""
 
 import pytest
-from bitterntiller_platform.interface import MAX_HEADER_NUMBER, PlatformInterface
+from bitterntiller_platform.dialect import MAX_HEADER_NUMBER, PlatformDialect
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -12,6 +12,9 @@
 SUPERSCRIPT_TWO = b"\xb2"
 HUGE = b"9" * 5000
 
+# Hypothesis derives its examples from a test's source; the alias keeps them the same.
+PlatformInterface = PlatformDialect
+
 
 def answer(value: bytes) -> ResponseHead:
     return ResponseHead(200, [(b"x-engine-load", value)])
@@ -22,12 +25,12 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"3", b"a,b", b"-1,2", b"1.5,2", b"\xb2,0"])
-def test_load_that_is_none(value):
-    """A request whose answer has come is cut.
+def test_malformed_load_is_ignored(value):
+    """A malformed load header must not abort a request that has its response.
 
-    The answer tells a load with a digit that is no number, and reading it raises.
+    The superscript passes str.isdigit(), but int() raises.
     """
-    assert PlatformInterface().load(answer(value)) is None
+    assert PlatformDialect().load(answer(value)) is None
 
 
 @given(st.binary(max_size=40) | st.just(HUGE + b"," + HUGE + b",7"))
@@ -45,23 +48,23 @@
 def test_any_headers_of_a_caller_can_be_read(value):
     names = (b"x-token-usage", b"x-length-hint", b"x-prefix-hash", b"x-deadline-ms")
     head = request(*((name, value) for name in names))
-    PlatformInterface().receive(head, 0.0)
+    PlatformInterface().parse_request(head, 0.0)
 
 
 def test_numbers_of_a_caller_are_bounded():
     head = request((b"x-token-usage", HUGE + b",7"), (b"x-length-hint", HUGE))
-    work = PlatformInterface().receive(head, 0.0).work
+    work = PlatformDialect().parse_request(head, 0.0).work
     assert (work.prompt_tokens, work.output_tokens) == (MAX_HEADER_NUMBER, 7)
     odd = request((b"x-token-usage", SUPERSCRIPT_TWO + b",7"))
-    assert PlatformInterface().receive(odd, 0.0).work is None
+    assert PlatformDialect().parse_request(odd, 0.0).work is None
 
 
 @pytest.mark.parametrize(
     "value", [b"timeout=\xb2", b"timeout=", b"timeout=x", b"max=9"]
 )
-def test_kept_connection_of_no_stated_time(value):
+def test_keep_alive_header_without_a_valid_timeout(value):
     assert keep_alive_seconds([(b"keep-alive", value)]) is None
 
 
-def test_kept_connection_of_a_stated_time():
+def test_keep_alive_header_with_a_timeout():
     assert keep_alive_seconds([(b"keep-alive", b"max=9, Timeout = 5")]) == 5.0
--- a/tests/platform/test_rollout_processes.py
+++ b/tests/platform/test_rollout_processes.py
@@ -1,4 +1,4 @@
-"""Rollouts between real processes of the platform, ordered by its wire."""
+"""Tests of rollouts with real processes of the platform."""
 
 import time
 from pathlib import Path
@@ -8,7 +8,7 @@
 SECONDS = 6
 FRACTION, TOLERANCE = 0.1, 50
 ROLLBACK_SECONDS = 5.0
-BAD_ANSWERS = 50
+BAD_RESPONSES = 50
 PATH = f"/-/rollouts/{SERVICE}"
 ORDER = {"service": SERVICE, "to": "v2", "duration_s": SECONDS}
 
@@ -19,9 +19,9 @@
 
 
 def play(fleet: Fleet, fails: float) -> tuple[float, list[float]]:
-    """Order a rollout under load; return when, and the runs of the new version.
+    """Run a rollout under load; return its start and the runs of the new version.
 
-    A host of control is killed meanwhile, and starts again.
+    A control host is killed and restarted meanwhile.
     """
     old = [fleet.engine(f"old{number}", number, "v1") for number in (1, 2, 3)]
     fleet.call(6)
@@ -45,7 +45,7 @@
     return ordered, sorted(run for engine in new for run in engine.runs)
 
 
-def test_good_version_is_completed_within_its_time(tmp_path: Path):
+def test_good_version_is_completed_after_its_duration(tmp_path: Path):
     with Fleet(tmp_path) as fleet:
         ordered, runs = play(fleet, 0.0)
         assert state(fleet) == "complete"
@@ -54,13 +54,13 @@
         assert statuses.count(200) >= 0.9 * len(statuses)
 
 
-def test_bad_version_is_reverted_within_its_bounds(tmp_path: Path):
-    """A bad version gets more than its part, or goes on to get requests."""
+def test_bad_version_is_reverted_within_its_limits(tmp_path: Path):
+    """A bad version must not exceed its fraction or keep getting requests."""
     with Fleet(tmp_path) as fleet:
         ordered, runs = play(fleet, 0.6)
         assert state(fleet) == "reverted"
         reached = sum(ordered <= at <= ordered + SECONDS for at, _ in fleet.calls)
         assert len(runs) <= FRACTION * reached + TOLERANCE
         bad = [run for run in runs if run <= ordered + SECONDS]
-        later = runs[-1] - bad[min(BAD_ANSWERS, len(bad)) - 1]
+        later = runs[-1] - bad[min(BAD_RESPONSES, len(bad)) - 1]
         assert later <= ROLLBACK_SECONDS
