--- a/tests/scenarios/runner.py
+++ b/tests/scenarios/runner.py
@@ -1,36 +1,37 @@
-"""The small language of the scenarios: one step a line.
+"""Interpreter of the scenario language, which has one step per line.
 
-    # The story, at the head of the file.
-    use three-hosts                         the steps of three-hosts.part
-    host a b roles=entry,dispatch,control   make hosts known; proxied: can be cut
+    # The failure that the scenario guards against, at the head of the file.
+    use three-hosts                         run the steps of three-hosts.part
+    host a b roles=entry,dispatch,control   define hosts; proxied: can be cut off
     start a b | kill a | term a | freeze a | thaw a | restart a
-    engine e1 token-ms=5 labels=zone=bole   a model engine's stand-in (plain: a
-                                            plain service's)
-    apply a [tiers.gold.deadline_ms=500]    accept the configuration by host a
-    fault e1 reset_after=3 times=1          the faults of standins/faults.py
-    rollout llm at a to=v2 seconds=8        order a rollout; status=409 if it is refused
+    engine e1 token-ms=5 labels=zone=bole   start a stand-in engine (plain: a plain
+                                            service)
+    apply a [tiers.gold.deadline_ms=500]    apply the configuration at host a
+    fault e1 reset_after=3 times=1          set faults of standins/faults.py
+    rollout llm at a to=v2 seconds=8        start a rollout; status=409: it is refused
     request r1 at a POST /v1/completions stream tokens=50 tier=gold key=K
-    burst b 20 at a POST /v1/completions    requests b1 to b20; b* means all
-    copy r2 of r1 at b                      the same request once more
-    leave r1                                the caller goes away
+    burst b 20 at a POST /v1/completions    send requests b1 to b20; b* means all
+    copy r2 of r1 at b                      send the same request once more
+    leave r1                                disconnect the caller
     cut a b | heal a b | pause 0.5s
-    expect r1 whole                         names of Call, or runs, resumes,
-    expect r1 runs == 1                     cancelled, upstream; truthful: no
-                                            not-run that ran, nothing ran twice
+    expect r1 whole                         a property of Call, or runs, resumes,
+    expect r1 runs == 1                     cancelled, finished, upstream, truthful:
+                                            at most one run, none with not-run
     expect a ready == true                  ready, alive, exit, version, log (its
                                             text), state.PATH, control.PATH,
                                             rollout.SERVICE.FIELD
     expect e1 accepted                      an announcement was accepted
-    expect e1 orders == 1                   orders that it carried out
-    expect e1 runs >= 2                     runs since the fault or signal: new_runs
-    expect e1 late_runs == 0                the same, ROLLBACK_SECONDS later on
-    expect e1 most_runs <= 17               in some WINDOW_SECONDS, from
+    expect e1 orders == 1                   number of executed orders
+    expect e1 runs >= 2                     number of runs; new_runs: since the last
+                                            fault, signal or rollout
+    expect e1 late_runs == 0                runs from ROLLBACK_SECONDS after that on
+    expect e1 most_runs <= 17               maximum in any WINDOW_SECONDS, from
                                             PROPAGATION_SECONDS after the fault on
-    within 5s expect ...                    the same, with patience
-    at-least 2 expect b* whole              true of so many of them
+    within 5s expect ...                    retry the expectation for that time
+    at-least 2 expect b* whole              the expectation holds for so many of them
 
-A value is JSON, or a word; `in` takes several parted by commas. The steps that have
-to do with control and its disks stand in control_steps.py.
+A value is JSON or a word; `in` takes values separated by commas. control_steps.py has
+the steps for control, its data folders and background tasks.
 """
 
 import json
@@ -43,18 +44,18 @@
 from pathlib import Path
 from typing import Any
 
-from standins.answers import digest
+from standins.responses import digest
 from tests.scenarios import builders
 from tests.scenarios.caller import Call
 from tests.scenarios.control_steps import ControlSteps
 from tests.scenarios.deployment import Deployment
-from tests.scenarios.processes import has
-from tests.scenarios.repeats import PROPAGATION_SECONDS
+from tests.scenarios.processes import value_at
+from tests.scenarios.repeated_request import PROPAGATION_SECONDS
 
 POLL_S = 0.02
 WINDOW_SECONDS = 4.0
 ROLLBACK_SECONDS = 5.0
-"""How long after a signal or order late_runs begin to count."""
+"""late_runs counts runs from this long after a fault, signal or rollout."""
 
 SIGNALS_BY_STEP = {
     "kill": signal.SIGKILL,
@@ -79,8 +80,8 @@
 }
 
 
-def value_of(text: str) -> Any:
-    """Return the value that a word of a step stands for."""
+def parse_value(text: str) -> Any:
+    """Return a word of a step as JSON value, or as text if it is not JSON."""
     try:
         return json.loads(text)
     except ValueError:
@@ -88,35 +89,35 @@
 
 
 def split_options(words: list[str]) -> tuple[list[str], dict[str, str]]:
-    """Part the plain words of a step from its key=value options."""
+    """Split a step into its plain words and its key=value options."""
     options = dict(word.split("=", 1) for word in words if "=" in word)
     return [word for word in words if "=" not in word], options
 
 
 class Runner(ControlSteps):
-    """Carries out the steps of one scenario."""
+    """Runs the steps of one scenario."""
 
     def __init__(self, deployment: Deployment) -> None:
         super().__init__()
         self._deployment = deployment
         self._calls_by_name: dict[str, Call] = {}
-        self._marked_at_by_name: dict[str, float] = {}
+        self._action_time_by_name: dict[str, float] = {}
 
     def run(self, path: Path) -> None:
-        """Run a scenario file; raise AssertionError naming the line that failed."""
+        """Run a scenario file; raise AssertionError with the line that failed."""
         self._folder = path.parent
         for number, line in enumerate(path.read_text().splitlines(), 1):
             words = shlex.split(line, comments=True)
             if not words:
                 continue
             try:
-                self._step(self.replace(words))
+                self._run_step(self.resolve_aliases(words))
             except AssertionError as err:
-                ends = self._deployment.describe_ends()
+                ends = self._deployment.log_tails()
                 text = f"{path.name}:{number}: {line}\n{err}\n{ends}"
                 raise AssertionError(text) from None
 
-    def _step(self, words: list[str]) -> None:
+    def _run_step(self, words: list[str]) -> None:
         verb, *rest = words
         if verb in SIGNALS_BY_STEP:
             self._signal(verb, rest)
@@ -128,7 +129,7 @@
 
     def _signal(self, verb: str, names: list[str]) -> None:
         for name in names:
-            self._marked_at_by_name[name] = time.time()
+            self._action_time_by_name[name] = time.time()
             if verb == "kill":
                 self._deployment.process(name).kill()
             else:
@@ -169,8 +170,8 @@
             place = config
             for folder in folders:
                 place = place.setdefault(folder, {})
-            place[last] = value_of(text)
-        self._patiently(20.0, lambda: self._apply(host, config))
+            place[last] = parse_value(text)
+        self._retry_for(20.0, lambda: self._apply(host, config))
 
     def _apply(self, host: str, config: dict[str, Any]) -> None:
         status = self._deployment.apply(host, config)
@@ -178,9 +179,9 @@
 
     def _do_fault(self, words: list[str]) -> None:
         (name,), options = split_options(words)
-        document = {key: value_of(text) for key, text in options.items()}
+        document = {key: parse_value(text) for key, text in options.items()}
         self._deployment.set_faults(name, document)
-        self._marked_at_by_name[name] = time.time()
+        self._action_time_by_name[name] = time.time()
 
     def _do_rollout(self, words: list[str]) -> None:
         (service, _, host), options = split_options(words)
@@ -192,13 +193,15 @@
         wanted = int(options.get("status", "200"))
         port = self._deployment.hosts_by_name[host].ports["operator"]
         for name in self._deployment.upstreams_by_name:
-            self._marked_at_by_name[name] = time.time()
+            self._action_time_by_name[name] = time.time()
 
-        def ask() -> None:
-            answer = self._deployment.ask(port, "POST", "/v1/rollouts", order)
-            assert answer[0] == wanted, f"status {answer[0]}: {answer[1]}"
+        def order_rollout() -> None:
+            response = self._deployment.send_request(
+                port, "POST", "/v1/rollouts", order
+            )
+            assert response[0] == wanted, f"status {response[0]}: {response[1]}"
 
-        self._patiently(5.0, ask)
+        self._retry_for(5.0, order_rollout)
 
     def _do_request(self, words: list[str]) -> None:
         (name, _, host, method, target, *flags), options = split_options(words)
@@ -235,7 +238,7 @@
 
     def _do_leave(self, names: list[str]) -> None:
         for name in names:
-            self._calls_by_name[name].go_away()
+            self._calls_by_name[name].disconnect()
 
     def _do_cut(self, words: list[str]) -> None:
         self._deployment.set_cut(words[0], words[1], True)
@@ -247,13 +250,13 @@
         time.sleep(float(words[0].removesuffix("s")))
 
     def _do_within(self, words: list[str]) -> None:
-        patience = float(words[0].removesuffix("s"))
-        assert words[1] == "expect", "only an expectation can be waited for"
-        self._patiently(patience, lambda: self._do_expect(words[2:]))
+        timeout_s = float(words[0].removesuffix("s"))
+        assert words[1] == "expect", "`within` must be followed by `expect`"
+        self._retry_for(timeout_s, lambda: self._do_expect(words[2:]))
 
     def _do_at_least(self, words: list[str]) -> None:
         wanted = int(words[0])
-        assert words[1] == "expect", "only expectations can be counted"
+        assert words[1] == "expect", "`at-least` must be followed by `expect`"
         name, *rest = words[2:]
         met = 0
         for one in self._calls_named(name):
@@ -262,15 +265,15 @@
                 met += 1
             except AssertionError:
                 continue
-        assert met >= wanted, f"{' '.join(rest)} is true of {met} of {name}"
+        assert met >= wanted, f"{' '.join(rest)} holds for {met} of {name}"
 
     def _calls_named(self, name: str) -> list[str]:
         names = [n for n in self._calls_by_name if n.startswith(name[:-1])]
         assert names, f"there is no {name}"
         return names
 
-    def _patiently(self, patience: float, step: Callable[[], None]) -> None:
-        until = time.monotonic() + patience
+    def _retry_for(self, timeout_s: float, step: Callable[[], None]) -> None:
+        until = time.monotonic() + timeout_s
         while True:
             try:
                 step()
@@ -286,28 +289,28 @@
             for one in self._calls_named(name):
                 self._do_expect([one, what, *rest])
             return
-        found = self._find(name, what)
+        found = self._read_value(name, what)
         if not rest:
             assert found is True, f"{name} {what} is {found!r}"
             return
         compare, text = rest
-        expected = text if compare in ("in", "has") else value_of(text)
-        expected = self.notes_by_name.get(text, expected)
-        # A host that does not answer has not got another value than a noted one.
+        expected = text if compare in ("in", "has") else parse_value(text)
+        expected = self.noted_values_by_name.get(text, expected)
+        # A host that does not respond must not count as different from a noted value.
         if found is None and (compare not in ("==", "!=") or text.startswith("$")):
-            raise AssertionError(f"{name} {what} is not there")
+            raise AssertionError(f"{name} {what} has no value")
         assert COMPARE[compare](found, expected), f"{name} {what} is {found!r}"
 
-    def _find(self, name: str, what: str) -> Any:
+    def _read_value(self, name: str, what: str) -> Any:
         if name in self._calls_by_name:
-            return self._find_of_call(self._calls_by_name[name], what)
-        if name in self.doings_by_name:
-            return self.doings_by_name[name].find(what)
+            return self._read_call(self._calls_by_name[name], what)
+        if name in self.tasks_by_name:
+            return self.tasks_by_name[name].read_value(what)
         if name in self._deployment.hosts_by_name:
-            return self._find_of_host(name, what)
-        return self._find_of_upstream(name, what)
+            return self._read_host(name, what)
+        return self._read_upstream(name, what)
 
-    def _find_of_call(self, call: Call, what: str) -> Any:
+    def _read_call(self, call: Call, what: str) -> Any:
         runs = [r for r in self._deployment.records("run") if is_run_of(r, call)]
         if what == "runs":
             return len(runs)
@@ -322,31 +325,31 @@
             return sum(record["request_id"] in ids for record in records)
         return getattr(call, what)
 
-    def _find_of_host(self, name: str, what: str) -> Any:
+    def _read_host(self, name: str, what: str) -> Any:
         host = self._deployment.hosts_by_name[name]
-        ask = self._deployment.ask
+        send_request = self._deployment.send_request
         if what == "exit":
             return self._deployment.process(name).exit_code()
         if what == "alive":
-            return ask(host.ports["caller"], "GET", "/healthz")[0] == 200
+            return send_request(host.ports["caller"], "GET", "/healthz")[0] == 200
         if what == "ready":
             return self._deployment.is_ready(name)
         if what == "version":
-            document = ask(host.ports["operator"], "GET", "/v1/config")[1]
-            return has(document, "version")
+            document = send_request(host.ports["operator"], "GET", "/v1/config")[1]
+            return value_at(document, "version")
         if what == "log":
             return self._deployment.process(name).log.read_text(errors="replace")
         if what.startswith("rollout."):
-            document = ask(host.ports["operator"], "GET", "/v1/rollouts")[1]
+            document = send_request(host.ports["operator"], "GET", "/v1/rollouts")[1]
             path = what.replace("rollout.", "rollouts_by_service.", 1)
-            return has(document, path)
+            return value_at(document, path)
         if what.startswith("control."):
-            return self._find_of_control(name, what.removeprefix("control."))
+            return self._read_control(name, what.removeprefix("control."))
         assert what.startswith("state."), f"a host has no {what}"
-        document = ask(host.ports["operator"], "GET", "/v1/state")[1]
-        return has(document, what.removeprefix("state."))
+        document = send_request(host.ports["operator"], "GET", "/v1/state")[1]
+        return value_at(document, what.removeprefix("state."))
 
-    def _find_of_upstream(self, name: str, what: str) -> Any:
+    def _read_upstream(self, name: str, what: str) -> Any:
         if what == "exit":
             return self._deployment.process(name).exit_code()
         if what == "accepted":
@@ -356,26 +359,26 @@
             orders = self._deployment.records("order")
             return sum(record["upstream"] == name for record in orders)
         marked = what in ("new_runs", "late_runs")
-        since = self._marked_at_by_name.get(name, 0.0) if marked else 0.0
+        since = self._action_time_by_name.get(name, 0.0) if marked else 0.0
         since += ROLLBACK_SECONDS if what == "late_runs" else 0.0
         runs = self._deployment.records("run")
         if what == "most_runs":
-            since = self._marked_at_by_name[name] + PROPAGATION_SECONDS
-            return most_in_window(
+            since = self._action_time_by_name[name] + PROPAGATION_SECONDS
+            return max_in_window(
                 [r["time"] for r in runs if r["upstream"] == name and r["time"] > since]
             )
         return sum(r["upstream"] == name and r["time"] >= since for r in runs)
 
 
-def most_in_window(times: list[float]) -> int:
-    """Return how many of some points in time lie in one window at most."""
+def max_in_window(times: list[float]) -> int:
+    """Return the maximum number of times within any window of WINDOW_SECONDS."""
     times = sorted(times)
     begins = (bisect_left(times, end - WINDOW_SECONDS) for end in times)
     return max((n + 1 - begin for n, begin in enumerate(begins)), default=0)
 
 
 def is_run_of(record: dict[str, Any], call: Call) -> bool:
-    """Tell whether a recorded run is one of a caller's request."""
+    """Return whether a recorded run belongs to a caller's request."""
     if record["path"] != call.target:
         return False
     return record["digest"] == digest(call.body)
