--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -12,9 +12,6 @@
 SUPERSCRIPT_TWO = b"\xb2"
 HUGE = b"9" * 5000
 
-# Hypothesis derives its examples from a test's source; the alias keeps them the same.
-PlatformInterface = PlatformDialect
-
 
 def answer(value: bytes) -> ResponseHead:
     return ResponseHead(200, [(b"x-engine-load", value)])
@@ -35,7 +32,7 @@
 
 @given(st.binary(max_size=40) | st.just(HUGE + b"," + HUGE + b",7"))
 def test_any_load_can_be_sent_on(value):
-    load = PlatformInterface().load(answer(value))
+    load = PlatformDialect().load(answer(value))
     if load is not None:
         encode(
             messages.Load(
@@ -48,7 +45,7 @@
 def test_any_headers_of_a_caller_can_be_read(value):
     names = (b"x-token-usage", b"x-length-hint", b"x-prefix-hash", b"x-deadline-ms")
     head = request(*((name, value) for name in names))
-    PlatformInterface().parse_request(head, 0.0)
+    PlatformDialect().parse_request(head, 0.0)
 
 
 def test_numbers_of_a_caller_are_bounded():
