--- a/bitterntiller/components/control/const.py
+++ b/bitterntiller/components/control/const.py
@@ -69,7 +69,7 @@
 """Seconds without other commands after which the leader commits the cluster time."""
 
 LEADER_WAIT = 0.4
-"""Seconds that a heartbeat is held on this host while no leader is known.
+"""Seconds for which a heartbeat waits on this host while no leader is known.
 
 A host that lost its lease thus learns of a new leader at once, without polling at a
 rate that would load control when there are many hosts. Shorter than the host's reply
--- a/bitterntiller/components/control/leader.py
+++ b/bitterntiller/components/control/leader.py
@@ -95,7 +95,7 @@
         return plan_assignments(pools, owners_by_pool, hosts, lease_expired)
 
     def in_force_version(self, now: float) -> int | None:
-        """Return the configuration version in force on all nodes with a lease.
+        """Return the lowest configuration version that a node with a lease may use.
 
         None while a node may still hold a lease from an earlier leader.
         """
--- a/bitterntiller/components/control/registrar.py
+++ b/bitterntiller/components/control/registrar.py
@@ -58,12 +58,12 @@
                 changes.append(with_state(item, UPSTREAM_GONE))
             elif silence > self._timings.upstream_silent and is_ready(item):
                 changes.append(with_state(item, UPSTREAM_SILENT))
-        self._forget()
+        self._drop_unregistered()
         return changes
 
     def _last_announced(self, item: Any) -> float:
         return self._last_announced_by_name.get(item.name, self._started)
 
-    def _forget(self) -> None:
+    def _drop_unregistered(self) -> None:
         for name in self._last_announced_by_name.keys() - self._state.by_name.keys():
             del self._last_announced_by_name[name]
--- a/bitterntiller/components/control/sessions.py
+++ b/bitterntiller/components/control/sessions.py
@@ -54,10 +54,11 @@
             self._replaced.remove(of_host[0])
 
     def seconds_since_grant(self, host: str, incarnation: str, now: float) -> float:
-        """Return a lower bound of the seconds since a process last got a lease.
+        """Return a lower bound of the seconds since a process's last lease began.
 
-        Counted from the arrival of its heartbeat. A process without a lease from this
-        leader may have got one from the previous leader until the takeover.
+        A lease begins when the process sends the heartbeat; this counts from its
+        arrival. A process without a lease from this leader may have got one from the
+        previous leader until the takeover.
         """
         return now - self._granted_at.get((host, incarnation), self._started)
 
--- a/bitterntiller/components/links/const.py
+++ b/bitterntiller/components/links/const.py
@@ -19,6 +19,8 @@
 """
 
 KEEPALIVE_TIMEOUT = 4
+"""Seconds of silence after which the kernel closes a connection."""
+
 RECONNECT_DELAY = 0.1
 """Seconds in which messages to an unreachable host fail without a new attempt."""
 
--- a/bitterntiller/components/node/coordinator.py
+++ b/bitterntiller/components/node/coordinator.py
@@ -177,7 +177,7 @@
         )
 
     def apply_reply(self, reply: Any, sent_at: float) -> bool:
-        """Apply a granting messages.HeartbeatReply; return True if the lease extends.
+        """Apply a granting HeartbeatReply; return whether it extends the lease.
 
         The lease is valid for the configuration version in the reply. If it were
         extended although that configuration can't be applied, this node would use an
--- a/bitterntiller/components/node/diagnostics.py
+++ b/bitterntiller/components/node/diagnostics.py
@@ -6,7 +6,7 @@
 
 
 def describe(node: NodeCoordinator) -> dict[str, Any]:
-    """Return lease, versions, hosts and owners as last received."""
+    """Return the lease, and versions, hosts and owners as last received."""
     return {
         "lease_valid": node.lease.valid(),
         "lease_left_s": round(max(node.lease.remaining(), 0.0), 3),
--- a/bitterntiller/components/orders/claims.py
+++ b/bitterntiller/components/orders/claims.py
@@ -26,7 +26,7 @@
         self._void_count_by_id: Counter[str] = Counter()
 
     async def async_begin(self, order: Order) -> OrderOutcome | None:
-        """Return None if the order may be sent, else its recorded outcome."""
+        """Return None if the order may be sent, else its outcome as far as known."""
         if order.idempotent:
             return None
         reply = await self._async_claim("take", order)
--- a/bitterntiller/components/orders/desired_orders.py
+++ b/bitterntiller/components/orders/desired_orders.py
@@ -20,7 +20,7 @@
 def desired_orders_of(
     service: Service, upstream: OrderedUpstream
 ) -> list[DesiredOrder]:
-    """Return what a service requests of an upstream and is not yet done.
+    """Return the changes that a service requests of an upstream, if not yet made.
 
     The label order_load lists, separated by commas, what to load on all upstreams that
     the service's selector matches; order_load/generation=g2 applies only to those of
--- a/bitterntiller/components/orders/pool.py
+++ b/bitterntiller/components/orders/pool.py
@@ -1,4 +1,4 @@
-"""The state of the orders of one owned pool, without I/O."""
+"""Decides which orders to send for one owned pool, without I/O."""
 
 from bitterntiller.components.config.models import Service
 from bitterntiller.components.orders import const
--- a/bitterntiller/components/replication/coordinator.py
+++ b/bitterntiller/components/replication/coordinator.py
@@ -120,9 +120,10 @@
         return None
 
     async def async_transfer_leadership(self, timeout: float) -> bool:
-        """Transfer leadership before this replica stops; return False if that fails.
+        """Transfer leadership; return False if this replica still leads afterwards.
 
-        Return True at once if this replica is not the leader.
+        Called before a stop. Retry for up to timeout seconds, unless no voter can take
+        over. Return True at once if this replica is not the leader.
         """
         async with curio.ignore_after(timeout):
             while self.is_leader():
@@ -238,7 +239,10 @@
             events.emit("voters-answered", after=seconds, term=self._replica.state.term)
 
     async def _async_handle_role_change(self) -> None:
-        """Wake callers that wait for a leader; on lost leadership fail all others."""
+        """Wake callers that wait for a leader; fail the others if leadership is lost.
+
+        Pending proposals and reads then end at once, with an unknown outcome.
+        """
         if not self.leader():
             self._leader_known.clear()
         elif not self._leader_known.is_set():
@@ -258,8 +262,8 @@
         """Take a snapshot and compact the log when it has many entries or bytes.
 
         A command can hold a group of claims, so a log of few entries can be hundreds
-        of megabytes, and loading it at a start takes minutes. A large state is written
-        again only once as many bytes as it has were applied.
+        of megabytes, and loading it at a start takes minutes. After a large
+        snapshot, the next one is due by size only once as many bytes were applied.
         """
         snapshot = self._replica.state.snapshot
         behind = self._applied - (snapshot.index if snapshot else 0)
@@ -274,7 +278,7 @@
 
     async def _async_retire(self, why: str) -> None:
         """Restart under a new identity, as a learner with an empty log."""
-        logging.warning("replica %s is given up: %s", self._replica.state.replica, why)
+        logging.warning("retiring replica %s: %s", self._replica.state.replica, why)
         self._runtime.metrics.count("replication.retired")
         await self._writer.async_retire(self._reset_replica)
         await self._waiters.async_fail_all()
--- a/bitterntiller/components/replication/core.py
+++ b/bitterntiller/components/replication/core.py
@@ -36,8 +36,9 @@
 from .state import Role, State
 
 _WITHOUT_TERM_CHECK = (PreVote, PreVoteReply, ReturnCheck, ReturnCheckReply)
-"""Messages whose term doesn't make the receiver adopt it: a pre-vote asks for a term
-that its sender has not entered, a startup check only reports the sender's."""
+"""Messages exempt from the rule that a higher term is adopted and a lower one rejected:
+a pre-vote and its grant carry a term that the sender of the pre-vote has not entered, a
+startup check and its reply only report the sender's term."""
 
 
 def is_outdated(state: State, message: Message) -> bool:
@@ -190,7 +191,7 @@
         return True
 
     def transfer_leadership(self, now: float) -> str:
-        """Transfer leadership to another voter; return it, empty if there is none."""
+        """Start a leadership transfer; return the chosen voter, empty without one."""
         return leading.transfer_leadership(self.state, now)
 
     def snapshot_taken(self, index: int, data: bytes) -> None:
--- a/bitterntiller/components/replication/identity.py
+++ b/bitterntiller/components/replication/identity.py
@@ -44,7 +44,7 @@
     if removed and find(members, check.replica) is None:
         return VERDICT_REMOVED
     if check.boot == mark.boot:
-        # Acknowledgements of this start; they may arrive before its check.
+        # Acknowledgements of this start set the mark; they may arrive before its check.
         return VERDICT_FINE
     if check.boot < mark.boot or _is_concurrent_boot(check.boot, mark.boot):
         return VERDICT_STALE
--- a/bitterntiller/components/replication/sending.py
+++ b/bitterntiller/components/replication/sending.py
@@ -6,11 +6,14 @@
 
 
 def broadcast(state: State, now: float) -> None:
-    """Send each follower entries if flow control allows, else a heartbeat."""
+    """Send each follower entries if flow control allows.
+
+    Otherwise send a piece of its snapshot, or an empty Append as a heartbeat.
+    """
     for replica, progress in state.progress_by_replica.items():
         progress.waiting = False
         if not replicate(state, replica, now):
-            _beat(state, replica)
+            _send_heartbeat(state, replica)
 
 
 def replicate(state: State, replica: str, now: float) -> bool:
@@ -32,7 +35,7 @@
     return sent
 
 
-def _beat(state: State, replica: str) -> None:
+def _send_heartbeat(state: State, replica: str) -> None:
     progress = state.progress_by_replica[replica]
     if progress.snapshot:
         send_piece(state, replica)
--- a/bitterntiller/components/replication/state.py
+++ b/bitterntiller/components/replication/state.py
@@ -161,7 +161,10 @@
         self.leader = leader
 
     def record_mark(self, replica: str, mark: Mark, due: bool = False) -> None:
-        """Record what a peer has acknowledged; if due, start a write for it."""
+        """Record what a peer has acknowledged.
+
+        It is synced with the next write; if due, it causes one.
+        """
         self.marks_by_replica[replica] = mark
         self._marks_dirty = True
         self._marks_due = self._marks_due or due
--- a/bitterntiller/components/replication/writer.py
+++ b/bitterntiller/components/replication/writer.py
@@ -94,7 +94,7 @@
                 await curio.sleep(FULL_PAUSE)
 
     def check_stall(self, now: float) -> None:
-        """Step down as leader if the current write takes too long.
+        """Neither lead nor campaign while the current write takes too long.
 
         A leader applies only entries that its own disk holds, so all callers of
         control would wait for its slow disk although the other disks are healthy.
