--- a/bitterntiller/components/dispatch/const.py
+++ b/bitterntiller/components/dispatch/const.py
@@ -40,7 +40,7 @@
 IDLE_WAKE_SECONDS = 1.0
 PARK_SECONDS = 0.25
 """Maximum time for which a request is parked, and minimum time between two checks of a
-waiting request."""
+waiting request without start_by; see START_CHECK_SECONDS for those with it."""
 
 FORGET_UPSTREAM_SECONDS = 60.0
 """How long the state of an unusable upstream is kept: longer than a network cut or a
@@ -81,11 +81,11 @@
 LABEL_CONCURRENCY = "concurrency"
 LABEL_RATE = "rate"
 
-SHORTEST_PAUSE = 0.005
-LONGEST_PAUSE = 0.1
+MIN_PAUSE = 0.005
+MAX_PAUSE = 0.1
 IDLE_PAUSE = 0.5
-"""Limits of the pause between two ticks of an owner, in seconds: SHORTEST_PAUSE to
-LONGEST_PAUSE with requests, up to IDLE_PAUSE without. A new request or changed state
+"""Limits of the pause between two ticks of an owner, in seconds: MIN_PAUSE to
+MAX_PAUSE with requests, up to IDLE_PAUSE without. A new request or changed state
 ends the idle pause early."""
 
 DEAD_HOSTS_PERIOD = 0.5
--- a/bitterntiller/components/dispatch/coordinator.py
+++ b/bitterntiller/components/dispatch/coordinator.py
@@ -72,7 +72,7 @@
         self.pools_by_name: dict[str, OwnedPool] = {}
 
     def add_announce_listener(self, listener: Callable[[Any], None]) -> None:
-        """Call a listener with each accepted messages.Announce.
+        """Add a listener that is called with each accepted messages.Announce.
 
         The listener must not await.
         """
@@ -191,7 +191,7 @@
         )
 
     async def async_on_returned(self, _host: str, message: Any) -> None:
-        """Take back an unused grant."""
+        """Process the return of a grant."""
         await self._async_apply(
             message.pool, lambda pool, now: pool.returned(message, now)
         )
@@ -380,8 +380,8 @@
     def _poll_delay(self) -> float:
         now = self._clock.now()
         due = [pool.next_wake(now) for pool in self.pools_by_name.values()]
-        wake = min(due, default=now + const.LONGEST_PAUSE)
-        return min(max(wake - now, const.SHORTEST_PAUSE), const.LONGEST_PAUSE)
+        wake = min(due, default=now + const.MAX_PAUSE)
+        return min(max(wake - now, const.MIN_PAUSE), const.MAX_PAUSE)
 
     async def _async_execute(self, pool: OwnedPool, decisions: list[Decision]) -> None:
         """Log upstream events, and send each decision in a task of its own.
--- a/bitterntiller/components/dispatch/eligibility.py
+++ b/bitterntiller/components/dispatch/eligibility.py
@@ -35,7 +35,7 @@
         key = (workspace, tier)
         if key not in self._names_by_key:
             selectors = _selectors(pool, workspace, tier, config)
-            self._names_by_key[key] = _chosen(selectors, labels_by_upstream)
+            self._names_by_key[key] = _matching_names(selectors, labels_by_upstream)
         return self._names_by_key[key]
 
 
@@ -48,7 +48,7 @@
     return [item.selector for item in found if item and item.selector != ANY]
 
 
-def _chosen(
+def _matching_names(
     selectors: list[Selector], labels_by_upstream: Mapping[str, dict[str, str]]
 ) -> frozenset[str] | None:
     if not selectors:
--- a/bitterntiller/components/dispatch/grant_loop.py
+++ b/bitterntiller/components/dispatch/grant_loop.py
@@ -90,7 +90,7 @@
         request, upstream = job.request, pick.upstream
         assert upstream is not None
         self._jobs.grant(job, pick, now)
-        self._wait_estimator.note_grant(job, now)
+        self._wait_estimator.add_grant(job, now)
         return Granted(
             request.request_id,
             request.entry_host,
--- a/bitterntiller/components/dispatch/jobs.py
+++ b/bitterntiller/components/dispatch/jobs.py
@@ -34,7 +34,7 @@
     work is the expected service time on an average upstream, min_service_seconds a
     lower bound of it on the best one. kv_tokens is the memory that the request takes.
     prefill is the number of prompt tokens to compute at the upstream, expected_cached
-    of those expected in its cache. expected_wait is the wait estimated on arrival.
+    the number expected in its cache. expected_wait is the wait estimated on arrival.
     order_key orders requests within a workspace, and group_key names the queue group.
 
     demoted is set when a request of typical size could no longer meet the objective,
--- a/bitterntiller/components/dispatch/ledger.py
+++ b/bitterntiller/components/dispatch/ledger.py
@@ -48,7 +48,7 @@
 
     @property
     def in_flight(self) -> int:
-        """Return the number of this owner's requests at the upstream or sent to it."""
+        """Return the number of own requests at the upstream or on their way to it."""
         return len(self.jobs_by_id)
 
     def add(self, job: Job, prefilled: bool, now: float) -> None:
@@ -96,8 +96,8 @@
         head = next(jobs)
         expected = speed.prefill_seconds(head.prefill, head.kind)
         left = expected - (now - self.head_started_at)
-        # An overdue prefill isn't done. A tenth of its elapsed time is assumed to
-        # remain, or the upstream would look idle while the prefill hangs.
+        # An overdue prefill isn't done. At least a tenth of its elapsed time is assumed
+        # to remain, or the upstream would look idle while the prefill hangs.
         seconds = max(left, 0.1 * (now - self.head_started_at))
         for job in jobs:
             seconds += speed.prefill_seconds(job.prefill, job.kind)
@@ -136,7 +136,7 @@
         the excess is foreign. Some requests were in transit around that time, so the
         highest own count within REPORT_SLACK_SECONDS is subtracted.
         """
-        own = self._most_in_flight(load.measured_at)
+        own = self._highest_in_flight(load.measured_at)
         if own is None:
             return
         excess = max(0, load.running + load.waiting - own)
@@ -176,15 +176,15 @@
         while self._history[0][0] < now - HISTORY_SECONDS:
             self._history.popleft()
 
-    def _most_in_flight(self, at: float) -> int | None:
+    def _highest_in_flight(self, at: float) -> int | None:
         """Return the highest own count around a time, or None if it isn't known."""
         if not self._history or self._history[0][0] > at:
             return None
-        most = 0
+        highest = 0
         for when, count in reversed(self._history):
             if when > at + REPORT_SLACK_SECONDS:
                 continue
-            most = max(most, count)
+            highest = max(highest, count)
             if when < at - REPORT_SLACK_SECONDS:
                 break
-        return most
+        return highest
--- a/bitterntiller/components/dispatch/estimator.py
+++ b/bitterntiller/components/dispatch/model_updater.py
@@ -15,7 +15,7 @@
 from bitterntiller.components.dispatch.upstreams import Upstream
 
 
-class Estimator:
+class ModelUpdater:
     """Passes samples to the speed, limit, health and prefix models of upstreams."""
 
     def __init__(
@@ -28,7 +28,7 @@
     def learn_from_progress(
         self, job: Job, output_tokens: int, now: float, first: float | None
     ) -> None:
-        """Learn from the number of tokens that a running request has received.
+        """Learn from the number of output tokens of a running request so far.
 
         The message arrives up to half a second after the first output, which is several
         times the duration of a prefill. If its arrival counted as the end of the
@@ -66,12 +66,12 @@
         if completion.outcome == OUTCOME_CALLER_GONE:
             return
         if completion.outcome == OUTCOME_REJECTED:
-            self._pool.note_success(upstream, now)
+            self._pool.record_upstream_success(upstream, now)
             return
         if completion.outcome != OUTCOME_DONE:
-            self._pool.note_failure(upstream, now)
+            self._pool.record_upstream_failure(upstream, now)
             return
-        self._pool.note_success(upstream, now)
+        self._pool.record_upstream_success(upstream, now)
         upstream.last_active_at = now
         self._size_estimator.learn(job, completion)
         # The duration of a call measures the upstream's speed only relative to the
@@ -90,9 +90,9 @@
             upstream.limit.record_rejection(
                 upstream.ledger.in_flight - 1, upstream.state.slots
             )
-            self._pool.note_failure(upstream, now)
+            self._pool.record_upstream_failure(upstream, now)
             return
-        self._pool.note_failure(
+        self._pool.record_upstream_failure(
             upstream, now, certain=reason == REASON_REFUSED_CONNECTION
         )
 
@@ -136,4 +136,4 @@
             return
         upstream.speed.learn_total(job.expected_total, completion.total)
         upstream.limit.learn(completion.total / job.work, upstream.state.slots)
-        self._pool.note_service_time(job.work, completion.total)
+        self._pool.record_service_time(job.work, completion.total)
--- a/bitterntiller/components/dispatch/models.py
+++ b/bitterntiller/components/dispatch/models.py
@@ -48,7 +48,7 @@
 
 
 class CacheChange(NamedTuple):
-    """Cache event of an upstream; it may arrive late, and events before it be lost."""
+    """Cache event of an upstream; it may arrive late, after a gap of lost events."""
 
     sequence: int
     stored: bool
@@ -188,7 +188,7 @@
         ...
 
     def take(self, route: str, now: float) -> bool:
-        """Consume the allowance for one request; return False if there is none."""
+        """Consume the allowance for a request of a route; return whether it may go."""
         ...
 
 
@@ -196,8 +196,8 @@
     """Grants and refuses the requests of one pool.
 
     Every call takes the current time and returns the resulting decisions in order. A
-    request gets one Granted, or another if that grant is returned unused, or one
-    Refused.
+    request gets one decision, Granted or Refused, and a further one if its grant was
+    returned or expired while it waits.
     """
 
     def register(self, request: WaitingRequest, now: float) -> list[Decision]:
@@ -221,7 +221,7 @@
     def returned(
         self, request_id: str, reason: str, waiting: bool, now: float
     ) -> list[Decision]:
-        """Revoke a grant that the entry host returned.
+        """Release the upstream of a grant that the entry host returned.
 
         reason says why: expired, lease, refused-connection, not-admitted, failed,
         lost-answer, upstream-left or version-withdrawn. If waiting is true, the request
@@ -236,7 +236,7 @@
         now: float,
         first: float | None = None,
     ) -> list[Decision]:
-        """Record the number of output tokens that a running request has received.
+        """Record the number of output tokens of a running request so far.
 
         first is the time in seconds from sending to the first output, if the entry host
         reported it.
--- a/bitterntiller/components/dispatch/owned_pool.py
+++ b/bitterntiller/components/dispatch/owned_pool.py
@@ -34,7 +34,8 @@
     """A request that the owner tracks, with the entry process that sent it.
 
     granted is true from the grant until the grant is returned. last_reported_at is when
-    the entry host last registered the request, on the owner's clock.
+    the entry host last registered the request or reported it as running, on the owner's
+    clock.
     """
 
     request: WaitingRequest
@@ -108,7 +109,7 @@
         request = self._request(message, now)
         known = self.tracked_by_id.get(request.request_id)
         if known is None:
-            self.rollout.note_registered(request, now)
+            self.rollout.record_registration(request, now)
         granted = known is not None and known.granted
         tracked = TrackedRequest(request, incarnation, granted, now)
         self.tracked_by_id[request.request_id] = tracked
@@ -202,7 +203,7 @@
         decisions: list[Decision] = []
         for item in items:
             first = None if item.first_ms is None else item.first_ms / 1000
-            self.rollout.note_progress(item)
+            self.rollout.record_progress(item)
             decisions += self.scheduler.progress(
                 item.request_id, item.output_tokens, now, first
             )
@@ -212,13 +213,13 @@
         """Record the end of a request."""
         self.tracked_by_id.pop(message.request_id, None)
         end = completion(message, now)
-        self.rollout.note_finished(end)
+        self.rollout.record_completion(end)
         return self._record_decisions(self.scheduler.finished(end, now), now)
 
     def returned(self, message: messages.Returned, now: float) -> list[Decision]:
-        """Take back an unused grant."""
+        """Process the return of a grant."""
         tracked = self.tracked_by_id.pop(message.request_id, None)
-        self.rollout.note_returned(message.request_id, message.reason)
+        self.rollout.record_return(message.request_id, message.reason)
         if message.still_waiting and tracked is not None:
             waiting = tracked._replace(granted=False)
             self.tracked_by_id[message.request_id] = waiting
@@ -237,7 +238,7 @@
         self, message: messages.Announce, now: float
     ) -> tuple[bool, list[Decision]]:
         """Apply an announcement; return False if it is older than the known state."""
-        self.rollout.note_announced(message, now)
+        self.rollout.record_announcement(message, now)
         accepted, decisions = self.scheduler.announce(upstream_state(message, now), now)
         if accepted and self._labels_by_upstream.get(message.name) != message.labels:
             self._labels_by_upstream[message.name] = message.labels
@@ -260,7 +261,7 @@
         removed = self._registered_by_name.keys() - registered.keys()
         for name in removed:
             item = self._registered_by_name.pop(name)
-            self.rollout.note_gone(name)
+            self.rollout.remove_upstream(name)
             decisions += self._announce_registered(item, STATE_LEAVING, version, now)
         self._registered_by_name.update(
             {name: item for name, item in registered.items() if item.pool == self.name}
@@ -388,7 +389,7 @@
         self.tracked_by_id[decision.request_id] = tracked._replace(granted=True)
         labels = self._labels_by_upstream.get(decision.upstream, {})
         version = labels.get(LABEL_VERSION, "")
-        self.rollout.note_granted(decision, tracked.request.route, version, now)
+        self.rollout.record_grant(decision, tracked.request.route, version, now)
 
 
 def _rank(tier: str, config: Config) -> int:
--- a/bitterntiller/components/dispatch/picker.py
+++ b/bitterntiller/components/dispatch/picker.py
@@ -257,9 +257,9 @@
             allowed = max(1, int(self._parameters.long_slots * slots))
             if upstream.ledger.long_jobs >= allowed:
                 return False
-        part = self._usable_fraction(job)
-        if not upstream.has_free_slots(part) or not upstream.has_memory_for(
-            job.kv_tokens, part
+        fraction = self._usable_fraction(job)
+        if not upstream.has_free_slots(fraction) or not upstream.has_memory_for(
+            job.kv_tokens, fraction
         ):
             return False
         if not self._isolation.allows(job.request, upstream.ledger, now):
@@ -291,9 +291,10 @@
     def _keeps_running_in_time(self, job: Job, upstream: Upstream, now: float) -> bool:
         """Return whether running work would still end in time alongside a request.
 
-        A request slows down the others by its slot in the batch and by its prefill,
-        during which they run at about half their speed. The prefill of running work is
-        done and would be wasted if the work became late.
+        Only work of the same or of more important tiers counts. A request slows down
+        the others by its slot in the batch and by its prefill, during which they run at
+        about half their speed. The prefill of running work is done and would be wasted
+        if the work became late.
         """
         ledger = upstream.ledger
         speed = upstream.speed
--- a/bitterntiller/components/dispatch/pool.py
+++ b/bitterntiller/components/dispatch/pool.py
@@ -87,7 +87,7 @@
         """Return whether any upstream can take one more request."""
         return len(self.views.unrestricted.free) > 0
 
-    def note_tier(self, rank: int) -> None:
+    def record_tier(self, rank: int) -> None:
         """Record that the pool gets requests of a tier."""
         if rank not in self._ranks:
             self._ranks.add(rank)
@@ -118,9 +118,9 @@
     def announce(self, state: UpstreamState, now: float) -> bool:
         """Apply an announcement; return False if it is older than the known state.
 
-        Incarnation and sequence order announcements. A delayed announcement could
-        otherwise undo that an upstream is leaving, and requests would be sent to it
-        until its next announcement.
+        Announcements are ordered by incarnation and sequence. Otherwise a delayed one
+        could undo that an upstream is leaving, and requests would be sent to it until
+        its next announcement.
         """
         upstream = self.upstreams_by_name.get(state.name)
         if upstream is None:
@@ -140,7 +140,7 @@
                 return False
             if state.incarnation != known.incarnation:
                 upstream.restart()
-                self._note_change(upstream, UpstreamChange.RESTARTED, now)
+                self._record_change(upstream, UpstreamChange.RESTARTED, now)
         upstream.state = state
         upstream.last_announced_at = now
         if state.load is not None:
@@ -223,7 +223,7 @@
             change = _membership_change(upstream, member)
             if not member and upstream.usable(now):
                 change = UpstreamChange.WITHHELD
-            self._note_change(upstream, change, now)
+            self._record_change(upstream, change, now)
         if free != upstream.free or member != upstream.member:
             upstream.free = free
             upstream.member = member
@@ -244,7 +244,7 @@
         change = UpstreamChange.LIMITED
         if update.limit is None:
             change = UpstreamChange.UNLIMITED
-        self._note_change(upstream, change, now)
+        self._record_change(upstream, change, now)
         self.refresh(upstream, now)
 
     def _defer_rate_limit(self, update: RateLimitUpdate) -> None:
@@ -275,33 +275,33 @@
         return self._refreshes[0][0] if self._refreshes else float("inf")
 
     def housekeep(self, now: float) -> None:
-        """Check every upstream: remove long silent ones and learn from overdue work."""
+        """Forget long unusable upstreams; refresh the others, learn from overdue work."""
         for name, upstream in list(self.upstreams_by_name.items()):
             if upstream.can_be_forgotten(now):
                 self.views.update(upstream, False)
                 self._count_slots(upstream, False)
                 upstream.prefixes.clear()
                 del self.upstreams_by_name[name]
-                self._note_change(upstream, UpstreamChange.FORGOTTEN, now)
+                self._record_change(upstream, UpstreamChange.FORGOTTEN, now)
                 continue
             self._learn_from_overdue(upstream, now)
             self.refresh(upstream, now)
 
-    def note_failure(
+    def record_upstream_failure(
         self, upstream: Upstream, now: float, certain: bool = False
     ) -> None:
         """Record a failure of an upstream; see Health.record_failure."""
         if upstream.health.record_failure(now, certain):
-            self._note_change(upstream, UpstreamChange.UNHEALTHY, now)
+            self._record_change(upstream, UpstreamChange.UNHEALTHY, now)
 
-    def note_success(self, upstream: Upstream, now: float) -> None:
+    def record_upstream_success(self, upstream: Upstream, now: float) -> None:
         """Record a successful response of an upstream."""
         was_unhealthy = upstream.health.unhealthy
         upstream.health.record_success()
         if was_unhealthy:
-            self._note_change(upstream, UpstreamChange.HEALTHY, now)
+            self._record_change(upstream, UpstreamChange.HEALTHY, now)
 
-    def note_service_time(self, work: float, seconds: float) -> None:
+    def record_service_time(self, work: float, seconds: float) -> None:
         """Update work_rate and mean_service_seconds with the end of one request."""
         if seconds > 0:
             self.work_rate += WORK_RATE_GAIN * (
@@ -312,7 +312,7 @@
                 seconds - self.mean_service_seconds
             )
 
-    def _note_change(
+    def _record_change(
         self, upstream: Upstream, change: UpstreamChange, now: float
     ) -> None:
         self.events.record(upstream.event(change, now))
--- a/bitterntiller/components/dispatch/pool_trial.py
+++ b/bitterntiller/components/dispatch/pool_trial.py
@@ -82,22 +82,22 @@
             return []
         return self.set_rules(VersionRules(rules.candidate, number=number), now)
 
-    def note_announced(self, announcement: messages.Announce, now: float) -> None:
+    def record_announcement(self, announcement: messages.Announce, now: float) -> None:
         """Record how long an upstream is still warming up, thus slower than later."""
         if announcement.warm_in_ms:
             warm_at = now + announcement.warm_in_ms / 1000
             self._warm_at_by_upstream.setdefault(announcement.name, warm_at)
 
-    def note_gone(self, upstream: str) -> None:
+    def remove_upstream(self, upstream: str) -> None:
         """Remove an upstream."""
         self._warm_at_by_upstream.pop(upstream, None)
 
-    def note_registered(self, request: WaitingRequest, now: float) -> None:
+    def record_registration(self, request: WaitingRequest, now: float) -> None:
         """Count a new request; one that has waited at another owner is not new."""
         if self.trial is not None and now - request.arrived <= NEW_SECONDS:
             self.trial.record_arrival(request.route)
 
-    def note_granted(
+    def record_grant(
         self, decision: Granted, route: str, version: str, now: float
     ) -> None:
         """Record a grant for the comparison of the two versions."""
@@ -110,12 +110,12 @@
             decision.request_id, route, name if is_candidate else "", warm, now
         )
 
-    def note_progress(self, item: messages.ProgressItem) -> None:
+    def record_progress(self, item: messages.ProgressItem) -> None:
         """Record the time to the first output of a running request, if reported."""
         if self.trial is not None and item.first_ms is not None:
             self.trial.record_first_output(item.request_id, item.first_ms / 1000)
 
-    def note_finished(self, end: Completion) -> None:
+    def record_completion(self, end: Completion) -> None:
         """Record the end of a granted request."""
         if self.trial is None:
             return
@@ -125,7 +125,7 @@
         failed = end.outcome != OUTCOME_DONE
         self.trial.record_end(end.request_id, failed, end.first_token, end.total)
 
-    def note_returned(self, request_id: str, reason: str) -> None:
+    def record_return(self, request_id: str, reason: str) -> None:
         """Record the return of a grant; failures count against the version."""
         if self.trial is None:
             return
--- a/bitterntiller/components/dispatch/queue.py
+++ b/bitterntiller/components/dispatch/queue.py
@@ -1,4 +1,4 @@
-"""Queue of a pool: strict priority of tiers, fair queueing between workspaces."""
+"""Queue of a pool: priority by tier, then fair queueing between workspaces."""
 
 import heapq
 import itertools
--- a/bitterntiller/components/dispatch/quota_queue.py
+++ b/bitterntiller/components/dispatch/quota_queue.py
@@ -38,8 +38,8 @@
 of a small quota."""
 
 SHARE_SECONDS = 2.0
-"""Decay time of the usage per kind of request: longer than the gaps between requests of
-a workspace, shorter than most bursts."""
+"""Decay time of the amounts requested per kind: longer than the gaps between requests
+of a workspace, shorter than most bursts."""
 
 MAX_KINDS = 64
 """Kinds tracked separately per workspace; further ones share one counter."""
@@ -113,7 +113,7 @@
         return self._queued_amount
 
     def is_idle(self, now: float) -> bool:
-        """Return whether the queue has no requests, reservations or recent usage."""
+        """Return whether nothing is queued, reserved or recently requested."""
         has_pending = self._queue or self._reservations.has_pending(now)
         return not has_pending and not self._largest.maximum(now)
 
@@ -212,9 +212,9 @@
     def _record_and_check_share(
         self, request: QuotaRequest, state: QuotaState, now: float
     ) -> bool:
-        """Record a request; return whether its kind uses no more than its fair share.
+        """Record a request; return whether its kind requests at most its fair share.
 
-        This holds only while other kinds use more than theirs, and never while a
+        The result is False unless other kinds request more than theirs, and while a
         request of the same kind is queued.
         """
         kind = request.kind
@@ -248,21 +248,21 @@
             return False
         return state.level - reserved_now >= self._bucket_needed(state, now)
 
-    def _reserve_for_largest(self, state: QuotaState, now: float) -> float:
+    def _largest_needed(self, state: QuotaState, now: float) -> float:
         return min(self._largest.maximum(now), LARGEST_REQUEST_FRACTION * state.limit)
 
     def _bucket_needed(self, state: QuotaState, now: float) -> float:
-        return min(self._reserve_for_largest(state, now), BUCKET_FRACTION * state.depth)
+        return min(self._largest_needed(state, now), BUCKET_FRACTION * state.depth)
 
     def _window_needed(self, amount: int, state: QuotaState, now: float) -> float:
-        return max(self._reserve_for_largest(state, now), amount)
+        return max(self._largest_needed(state, now), amount)
 
     def _expected_wait(self, state: QuotaState, now: float) -> float:
         """Return how long a new request would wait, whatever its size."""
         needed = self._queued_amount + self._reserved_for_retries(state, now)
         missing = max(
             self._bucket_needed(state, now) + needed - state.level,
-            self._reserve_for_largest(state, now) + needed - state.remaining,
+            self._largest_needed(state, now) + needed - state.remaining,
         )
         if missing <= 0:
             return 0.0
--- a/bitterntiller/components/dispatch/quotas.py
+++ b/bitterntiller/components/dispatch/quotas.py
@@ -120,11 +120,11 @@
         )
 
     def _find_or_add(
-        self, uses: dict[str, _WindowUsage], workspace: str
+        self, usage_by_workspace: dict[str, _WindowUsage], workspace: str
     ) -> _WindowUsage:
-        found = uses.get(workspace)
+        found = usage_by_workspace.get(workspace)
         if found is None:
-            found = uses[workspace] = _WindowUsage(self._window.seconds)
+            found = usage_by_workspace[workspace] = _WindowUsage(self._window.seconds)
         return found
 
     def set_held(self, host: str, held_by_workspace: dict[str, int]) -> None:
@@ -217,11 +217,13 @@
         total_limit = self._window.limit(found.quota.rate, found.quota.burst)
         limit = total_limit * host_fraction
         bucket = self._bucket(found.quota, host_fraction)
-        use = self._usage_by_workspace.get(workspace)
-        pace = self._bucket_usage_by_workspace.get(workspace)
+        usage = self._usage_by_workspace.get(workspace)
+        bucket_usage = self._bucket_usage_by_workspace.get(workspace)
         aside = self._set_aside_by_workspace[workspace]
-        used = self._reserved_by_workspace[workspace] + (use.sum(now) if use else 0.0)
-        level = pace.level(bucket, now) if pace else bucket.depth
+        used = self._reserved_by_workspace[workspace] + (
+            usage.sum(now) if usage else 0.0
+        )
+        level = bucket_usage.level(bucket, now) if bucket_usage else bucket.depth
         return QuotaState(
             remaining=limit - aside - used,
             level=level - aside,
--- a/bitterntiller/components/dispatch/rate_meters.py
+++ b/bitterntiller/components/dispatch/rate_meters.py
@@ -11,7 +11,7 @@
 
 
 class RateMeter:
-    """An exponentially decaying rate of amounts per second."""
+    """An exponentially weighted rate of amounts per second."""
 
     __slots__ = ("_at", "_begin", "_seconds", "_sum")
 
--- a/bitterntiller/components/dispatch/refusals.py
+++ b/bitterntiller/components/dispatch/refusals.py
@@ -52,7 +52,7 @@
         return self.refuse(job, reason, now)
 
     def quarantined(self, job: Job, quarantined_for: float, now: float) -> Refused:
-        """Refuse a quarantined request, which has crashed too many upstreams."""
+        """Refuse a quarantined request: too many upstreams crashed while running it."""
         return self._refusal(job, Reason.CRASHES_UPSTREAMS, quarantined_for, now)
 
     def refuse(self, job: Job, reason: Reason, now: float) -> Refused:
@@ -64,7 +64,7 @@
         if not self._pool.view(job).members:
             retry = self._wait_estimator.retry_without_upstream()
             return self._refusal(job, Reason.NO_UPSTREAM, retry, now)
-        self._wait_estimator.note_refused(job, now)
+        self._wait_estimator.add_refusal(job, now)
         retry = self._wait_estimator.retry_after(job.rank, now)
         return self._refusal(job, reason, retry, now)
 
--- a/bitterntiller/components/dispatch/scheduler.py
+++ b/bitterntiller/components/dispatch/scheduler.py
@@ -14,11 +14,11 @@
     REASON_VERSION_WITHDRAWN,
 )
 from bitterntiller.components.dispatch.describe import describe
-from bitterntiller.components.dispatch.estimator import Estimator
 from bitterntiller.components.dispatch.grant_loop import GrantLoop
 from bitterntiller.components.dispatch.isolation import Isolation, NoCrashes
 from bitterntiller.components.dispatch.jobs import Job, JobState
 from bitterntiller.components.dispatch.lifecycle import JobLifecycle
+from bitterntiller.components.dispatch.model_updater import ModelUpdater
 from bitterntiller.components.dispatch.models import (
     DEFAULT_PARAMETERS,
     CanaryAllowance,
@@ -78,7 +78,7 @@
         self._queue = PoolQueue(parameters.fair, self._limiter)
         self._ordering = new_ordering(parameters)
         self._size_estimator = SizeEstimator(parameters, self._pool.speed)
-        self._estimator = Estimator(parameters, self._pool, self._size_estimator)
+        self._model_updater = ModelUpdater(parameters, self._pool, self._size_estimator)
         self._isolation = Isolation(crashes or NoCrashes(), self._pool)
         self._picker = UpstreamPicker(parameters, self._pool, rng, self._isolation)
         self._wait_deadlines = WaitDeadlines(parameters, self._pool, self._picker)
@@ -161,7 +161,7 @@
         if decisions and decisions[-1].request_id == request.request_id:
             return
         self._jobs.track(job)
-        self._wait_estimator.note_arrival(job, now)
+        self._wait_estimator.add_arrival(job, now)
         self._jobs.enqueue(job, now)
 
     def cancel(self, request_id: str, now: float) -> list[Decision]:
@@ -184,7 +184,7 @@
     def returned(
         self, request_id: str, reason: str, waiting: bool, now: float
     ) -> list[Decision]:
-        """Revoke a returned grant, and requeue the request if it still waits."""
+        """Release the upstream of a returned grant; requeue a request that waits."""
         job = self._jobs.by_id.pop(request_id, None)
         if job is None:
             return []
@@ -192,7 +192,7 @@
         upstream = job.upstream
         if upstream is not None and reason in _REASONS_TO_TRY_ANOTHER:
             if reason not in _REASONS_WITHOUT_FAULT:
-                self._estimator.learn_from_return(upstream, reason, now)
+                self._model_updater.learn_from_return(upstream, reason, now)
             job.return_count += 1
             tried = (*job.request.tried, upstream.name)
             job.request = job.request._replace(tried=tried)
@@ -209,12 +209,12 @@
         now: float,
         first: float | None = None,
     ) -> list[Decision]:
-        """Record the number of output tokens that a running request has received."""
+        """Record the number of output tokens of a running request so far."""
         job = self._jobs.by_id.get(request_id)
         if job is None:
             return []
         self._jobs.mark_running(job, now)
-        self._estimator.learn_from_progress(job, output_tokens, now, first)
+        self._model_updater.learn_from_progress(job, output_tokens, now, first)
         if job.upstream is None:
             return []
         decisions: list[Decision] = []
@@ -229,7 +229,7 @@
         if job is None:
             return []
         decisions: list[Decision] = []
-        self._estimator.learn_from_completion(job, completion, now)
+        self._model_updater.learn_from_completion(job, completion, now)
         self._jobs.withdraw(job, now)
         self._grant_loop.decide(now, decisions)
         return decisions
@@ -349,7 +349,7 @@
 
     def _estimate_size(self, job: Job, now: float) -> None:
         self._size_estimator.estimate(job)
-        self._pool.note_tier(job.rank)
+        self._pool.record_tier(job.rank)
         job.order_key = self._ordering.key(job)
         self._set_group_key(job, now)
 
@@ -384,7 +384,7 @@
         decisions.append(self._refusals.drop(victim, reason, now))
 
     def _requeue(self, job: Job, now: float, decisions: list[Decision]) -> None:
-        """Queue a request whose grant was returned at its old position."""
+        """Queue a request again, at its old position, after its grant was returned."""
         members = self._pool.view(job).members
         if members and all(name in job.request.tried for name in members):
             # Every upstream refused or failed it. Its deadline may allow another round,
--- a/bitterntiller/components/dispatch/size_estimator.py
+++ b/bitterntiller/components/dispatch/size_estimator.py
@@ -27,7 +27,7 @@
 event of a stream holds several. If all of the stated output were expected, a new owner
 would refuse requests as too late that idle upstreams would serve in time."""
 
-WORKSPACE_PRIOR_ANSWERS = 3
+WORKSPACE_PRIOR_RESPONSES = 3
 """Number of responses that the pool's mean counts for in the mean of a workspace."""
 
 MEAN_GAIN = 0.01
@@ -43,9 +43,9 @@
         self._long_factor = parameters.long_factor
         self._speed = speed
         self._output_ratio = PRIOR_RATIO
-        self._answers = 0
+        self._responses = 0
         self._ratio_by_workspace: dict[str, float] = {}
-        self._answers_by_workspace: Counter[str] = Counter()
+        self._responses_by_workspace: Counter[str] = Counter()
         self._mean_work = 0.0
         self._plain = parameters.kind == KIND_PLAIN
         self._calls = CallDurations()
@@ -70,13 +70,15 @@
         if stated < 1 or completion.output_tokens < 1:
             return
         seen = min(max(completion.output_tokens / stated, MIN_RATIO), MAX_RATIO)
-        self._answers += 1
-        gain = max(1 / self._answers, RATIO_GAIN)
+        self._responses += 1
+        gain = max(1 / self._responses, RATIO_GAIN)
         self._output_ratio += gain * (seen - self._output_ratio)
         known = self._ratio_by_workspace.get(job.workspace, self._output_ratio)
-        self._answers_by_workspace[job.workspace] += 1
-        answers = self._answers_by_workspace[job.workspace] + WORKSPACE_PRIOR_ANSWERS
-        gain = max(1 / answers, RATIO_GAIN)
+        self._responses_by_workspace[job.workspace] += 1
+        responses = (
+            self._responses_by_workspace[job.workspace] + WORKSPACE_PRIOR_RESPONSES
+        )
+        gain = max(1 / responses, RATIO_GAIN)
         self._ratio_by_workspace[job.workspace] = known + gain * (seen - known)
 
     def _size_tokens(self, job: Job) -> None:
--- a/bitterntiller/components/dispatch/upstreams.py
+++ b/bitterntiller/components/dispatch/upstreams.py
@@ -63,7 +63,7 @@
         """Reset requests, prefixes, failures, limits and speed of the old incarnation.
 
         Otherwise an upstream that was slow before its restart would get few requests
-        for a long time, and it would get requests for prefixes that it lost.
+        for a long time, and requests would be sent to it for prefixes that it lost.
         """
         self.speed = new_speed(self._kind, self._pool_speed)
         self.ledger.clear()
@@ -153,8 +153,8 @@
 
         An upstream that was slow for a while would otherwise get no requests, since all
         would be expected to end too late, and its recovery would never be measured: the
-        service would refuse everything beside idle upstreams. One request every few
-        seconds is therefore sent as a probe.
+        service would refuse everything beside idle upstreams. One request at a
+        time is therefore sent as a probe, every PROBE_SECONDS.
         """
         return not self.ledger.in_flight and now - self.last_granted_at >= PROBE_SECONDS
 
--- a/bitterntiller/components/dispatch/wait_estimator.py
+++ b/bitterntiller/components/dispatch/wait_estimator.py
@@ -45,16 +45,16 @@
         self._drains_by_rank: dict[int, RateMeter] = {}
         self._refused = DecayingSum(RETRY_DECAY_SECONDS)
 
-    def note_arrival(self, job: Job, now: float) -> None:
+    def add_arrival(self, job: Job, now: float) -> None:
         """Record the work of a request that was queued."""
         self._meter(self._arrivals_by_rank, job.rank, now).add(job.work, now)
 
-    def note_grant(self, job: Job, now: float) -> None:
+    def add_grant(self, job: Job, now: float) -> None:
         """Record the work of a request that was granted."""
         self._meter(self._drains_by_rank, job.rank, now).add(job.work, now)
         self._capacity.add_granted(job.work)
 
-    def note_refused(self, job: Job, now: float) -> None:
+    def add_refusal(self, job: Job, now: float) -> None:
         """Record the work of a refused request whose caller will retry."""
         self._refused.add(job.work, now)
 
