--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -115,15 +115,15 @@
             (record["path"], record["digest"])
             for record in self._deployment.records("run")
         )
-        found: Counter[str] = Counter()
+        counts: Counter[str] = Counter()
         violations: list[dict[str, Any]] = []
         for number, (request, results) in self._results.items():
             ran = runs[request.target, digest(request.body)]
-            found[f"runs {ran}"] += 1
+            counts[f"runs {ran}"] += 1
             for result in results:
-                found[f"heard {describe_result(result)}"] += 1
+                counts[f"heard {describe_result(result)}"] += 1
             for fault in find_faults(request, results, ran):
-                found[f"FAULT {fault}"] += 1
+                counts[f"FAULT {fault}"] += 1
                 violations.append(
                     {
                         "number": number,
@@ -137,7 +137,7 @@
             "requests": len(self._results),
             "recorded_runs": recorded,
             "signals": dict(self._signals),
-            "counts": dict(sorted(found.items())),
+            "counts": dict(sorted(counts.items())),
             "faults": violations[:20],
         }
 
@@ -166,8 +166,8 @@
         if whole and ran == 0:
             faults.append("answered but never ran")
     # If a request with an idempotency key was sent more than once, only the last
-    # response counts: the first copy may not have run when it was answered not-run,
-    # and the second one may have run later.
+    # response counts: a not-run for the first copy may have been true until the second
+    # copy ran.
     last = results[-1]
     if last.outcome == "not-run" and ran:
         faults.append("not-run that had run")
--- a/bench/control_cost.py
+++ b/bench/control_cost.py
@@ -58,7 +58,7 @@
         changes = action()
         seconds = time.monotonic() - started_at
         after = {name: self._read(deployment, name) for name in names}
-        found: dict[str, Any] = {"seconds": round(seconds, 1), "changes": changes}
+        figures: dict[str, Any] = {"seconds": round(seconds, 1), "changes": changes}
         for group, members in groups.items():
             if not members:
                 continue
@@ -70,13 +70,13 @@
                 sum(c) / len(members) for c in zip(*gains, strict=True)
             )
             resident = sum(deployment.resident(m) for m in members) / len(members)
-            found[group] = {
+            figures[group] = {
                 "cpu_s_per_s": round(cpu / seconds, 4),
                 "sent_bytes_s": round(sent / seconds),
                 "received_bytes_s": round(received / seconds),
                 "resident_kb": round(resident),
             }
-        return found
+        return figures
 
     def _read(self, deployment: ControlDeployment, name: str) -> tuple[float, int, int]:
         sent = deployment.counter(name, "links.sent_bytes")
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -65,8 +65,8 @@
     def finish_one(self) -> None:
         """Finish one random running request."""
         running = self._running
-        place = self._rng.randrange(len(running))
-        running[place], running[-1] = running[-1], running[place]
+        position = self._rng.randrange(len(running))
+        running[position], running[-1] = running[-1], running[position]
         grant = running.pop()
         completion = Completion(
             grant.request_id, grant.upstream, "done", 100, 0, 0.2, 2.0, True
--- a/bench/owner.py
+++ b/bench/owner.py
@@ -61,22 +61,22 @@
         self._epoch += 1
         self._scheduler = None
 
-    def send(self, call: str, *arguments: Any, **named: Any) -> None:
+    def send(self, method: str, *arguments: Any, **named: Any) -> None:
         """Call a method of the scheduler after the message delay."""
         epoch = self._epoch
-        self._loop.after(self._delay, self._receive, epoch, call, arguments, named)
+        self._loop.after(self._delay, self._receive, epoch, method, arguments, named)
 
-    def _receive(self, epoch: int, call: str, arguments: tuple, named: dict) -> None:
+    def _receive(self, epoch: int, method: str, arguments: tuple, named: dict) -> None:
         if epoch != self._epoch or self._scheduler is None:
             return
         now = self._loop.now()
-        if call == "register" and now < self._settled_at:
+        if method == "register" and now < self._settled_at:
             at = self._settled_at
-            self._loop.at(at, self._receive, epoch, call, arguments, named)
+            self._loop.at(at, self._receive, epoch, method, arguments, named)
             return
         self.calls += 1
-        decisions = getattr(self._scheduler, call)(*arguments, now, **named)
-        if call == "announce":
+        decisions = getattr(self._scheduler, method)(*arguments, now, **named)
+        if method == "announce":
             decisions = decisions[1]
         self._deliver(decisions)
         self._schedule_tick()
--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -83,8 +83,10 @@
 class RolloutResult(NamedTuple):
     """Result of one rollout.
 
-    after_50th is the time in seconds for which the candidate still got requests after
-    its 50th failure, or 0 if it had fewer.
+    exposed are the canary requests, and allowed is their bound. cut are the requests
+    that still ran at old upstreams when the rollout completed. after_50th is the time
+    in seconds for which the candidate still got requests after its 50th failure, or 0
+    if it had fewer.
     """
 
     phase: str
@@ -107,7 +109,7 @@
         self.weigh = EVIDENCE_METHODS_BY_NAME[weigh]
         self.rng = random.Random(f"{case.name}/{rate}/{duration}/{seed}")
         engines = max(3, math.ceil(rate * 1.0 / SLOTS / 0.7))
-        self.speed_by_name = {
+        self.time_factor_by_name = {
             f"{side}{number}": self.rng.choice((0.7, 1.0, 1.0, 1.5, 2.5))
             for side in ("old", "new")
             for number in range(engines)
@@ -115,10 +117,10 @@
         self.old = [f"old{number}" for number in range(engines)]
         self.new = [f"new{number}" for number in range(engines)]
         self.canaries = self.new[:CANARY_UPSTREAMS]
-        self.running_by_name = dict.fromkeys(self.speed_by_name, 0)
+        self.running_by_name = dict.fromkeys(self.time_factor_by_name, 0)
         self.faulty_upstreams = {
             name
-            for name in self.speed_by_name
+            for name in self.time_factor_by_name
             if case.fault and self.rng.random() < 0.15
         }
         self.fault_at = self.rng.uniform(0, 0.7 * duration)
@@ -129,7 +131,7 @@
         self.allowance = 0
         self.phase = Phase.JUDGED
         self.ended_at = math.inf
-        self.pending: tuple[float, Phase] | None = None
+        self.pending_phase: tuple[float, Phase] | None = None
         self.failed_at: list[float] = []
         self.last_sent = 0.0
         self.pending_ends: list[tuple[float, int, str, bool, float, float]] = []
@@ -145,13 +147,13 @@
             now += self.rng.expovariate(self.rate)
             while next_report <= now and next_report < self.duration:
                 self._process_ends(next_report)
-                self._apply(next_report)
+                self._apply_pending_phase(next_report)
                 self._report(next_report)
                 next_report += REPORT_PERIOD
             self._process_ends(now)
-            self._apply(now)
+            self._apply_pending_phase(now)
             if now < self.duration:
-                self._request(now)
+                self._send_request(now)
         done = self.phase is Phase.COMPLETE
         cut = 0
         if done:
@@ -169,11 +171,11 @@
             after_50th=max(0.0, self.last_sent - fiftieth[0]) if fiftieth else 0.0,
         )
 
-    def _apply(self, now: float) -> None:
-        if self.pending is None or now < self.pending[0]:
+    def _apply_pending_phase(self, now: float) -> None:
+        if self.pending_phase is None or now < self.pending_phase[0]:
             return
-        at, self.phase = self.pending
-        self.pending = None
+        at, self.phase = self.pending_phase
+        self.pending_phase = None
         if not self.phase.under_way:
             self.ended_at = at
 
@@ -194,13 +196,13 @@
         allowed = max(0, min(wanted - self.allowance, cap - self.allotted))
         self.allowance += allowed
         self.allotted += allowed
-        if self.pending is not None:
+        if self.pending_phase is not None:
             return
         step = next_step(progress, self.weigh)
         if step is not None:
-            self.pending = (now + DECISION_DELAY, step.phase)
+            self.pending_phase = (now + DECISION_DELAY, step.phase)
 
-    def _request(self, now: float) -> None:
+    def _send_request(self, now: float) -> None:
         self.reached += 1
         draw = self.rng.random()
         route, mean = _route_of_draw(draw)
@@ -245,7 +247,7 @@
         case = self.case
         load = self.running_by_name[name] / SLOTS
         size = self.rng.lognormvariate(-0.125, 0.5)
-        seconds = mean * size * self.speed_by_name[name] * (0.7 + 0.6 * load)
+        seconds = mean * size * self.time_factor_by_name[name] * (0.7 + 0.6 * load)
         failure_rate = 0.002
         if name in self.faulty_upstreams and self._is_fault_active(now):
             if case.fault == "slow":
