--- a/bitterntiller/components/dispatch/pool.py
+++ b/bitterntiller/components/dispatch/pool.py
@@ -275,7 +275,7 @@
         return self._refreshes[0][0] if self._refreshes else float("inf")
 
     def housekeep(self, now: float) -> None:
-        """Forget long unusable upstreams; refresh the others, learn from overdue work."""
+        """Forget long unusable upstreams; refresh and learn from the others."""
         for name, upstream in list(self.upstreams_by_name.items()):
             if upstream.can_be_forgotten(now):
                 self.views.update(upstream, False)
