--- a/bitterntiller/components/crashes/coordinator.py
+++ b/bitterntiller/components/crashes/coordinator.py
@@ -187,7 +187,8 @@
     async def _async_sync(self, owner: Ownership) -> float:
         """Synchronize with an owner; return the seconds until the next exchange.
 
-        With an owner that already got the whole history only digests are compared.
+        An owner that already got the whole history is sent a digest, and the history
+        only if its own digest differs.
         """
         now = self._clock.now()
         try:
@@ -217,7 +218,10 @@
         await self._async_merge(crash_update(reply, self._clock.now()), reply.host)
 
     async def _async_broadcast(self, update: CrashUpdate, reporter: str) -> None:
-        """Send to all hosts but the reporter, so that a dead one delays no other."""
+        """Send an update to all hosts but the reporter.
+
+        It is sent in the background, so that a dead host delays no other.
+        """
         now = self._clock.now()
         report = report_message(update, self._host, now)
         for name, host in self._directory.hosts_by_name.items():
--- a/bitterntiller/components/entry/__init__.py
+++ b/bitterntiller/components/entry/__init__.py
@@ -119,12 +119,12 @@
 def _shared_budget(session: NodeCoordinator, retries: RetryBounds) -> RetryBudget:
     """Return this host's share of the deployment's retry budget."""
 
-    def most() -> float:
+    def max_retries() -> float:
         hosts = session.directory.hosts_by_name.values()
         entries = sum(ROLE_ENTRY in host.roles for host in hosts)
         return const.RETRY_BUDGET_BASE_FRACTION * retries.besides / max(1, entries)
 
-    return RetryBudget(const.RETRY_BUDGET_FRACTION * retries.per_request, most)
+    return RetryBudget(const.RETRY_BUDGET_FRACTION * retries.per_request, max_retries)
 
 
 async def _async_start(
--- a/bitterntiller/components/entry/attempt.py
+++ b/bitterntiller/components/entry/attempt.py
@@ -82,14 +82,14 @@
         except ConnectRefusedError:
             # No byte was sent without a connection, so the request did not run.
             return Retry(grant.upstream, REFUSED_CONNECTION)
-        kept = False
+        reusable = False
         try:
             verdict = await self._async_claim_and_send(client, grant)
-            kept = isinstance(verdict, RelayResult) and verdict.whole
-            kept = kept or _has_complete_response(verdict)
+            reusable = isinstance(verdict, RelayResult) and verdict.whole
+            reusable = reusable or _has_complete_response(verdict)
             return verdict
         finally:
-            if kept:
+            if reusable:
                 await connections.async_release(grant.address, client)
             else:
                 await client.async_close()
@@ -177,27 +177,30 @@
         log_sending(active, grant, client.reused, version, active.sent_at)
         try:
             await self._async_send_request(client, grant)
-            head, finding = await self._async_head(client)
+            head, response_class = await self._async_head(client)
         except IncompleteResponseError as error:
             return await self._async_handle_lost_response(error)
         active.load = self._context.dialect.load(head)
         active.rate_limit = self._context.dialect.rate_limit(head)
         now = self._context.clock.now()
-        log_response(active, head.status, finding, now)
-        if finding is not ResponseClass.FOREIGN:
+        log_response(active, head.status, response_class, now)
+        if response_class is not ResponseClass.FOREIGN:
             await async_report_rate_limit(self._context, active, grant, now)
-        if self._context.response_times is not None and finding is ResponseClass.ANSWER:
+        if (
+            self._context.response_times is not None
+            and response_class is ResponseClass.ANSWER
+        ):
             self._context.response_times.record(active.pool, now - active.sent_at)
-        if finding is ResponseClass.NOT_RUN:
+        if response_class is ResponseClass.NOT_RUN:
             await _async_drain_response(client)
             return Retry(grant.upstream, NOT_ADMITTED)
-        if finding is ResponseClass.FOREIGN:
+        if response_class is ResponseClass.FOREIGN:
             error = IncompleteResponseError("the answer names another request")
             return await self._async_handle_lost_response(error)
-        if finding is not ResponseClass.ANSWER and self._can_repeat():
+        if response_class is not ResponseClass.ANSWER and self._can_repeat():
             await _async_drain_response(client)
             return Retry(grant.upstream, FAILED, ran=True)
-        if finding is ResponseClass.WITHHELD:
+        if response_class is ResponseClass.WITHHELD:
             return _unknown(Reason.UPSTREAM_FAILED, BAD_GATEWAY)
         active.phase = Phase.RELAYING
         relay = Relay(self._exchange, active, self._context)
@@ -246,13 +249,13 @@
         dialect = self._context.dialect
         timeout = self._first_byte_timeout()
         head = await client.async_head(timeout)
-        finding = dialect.classify_response(self._active, head)
-        if finding is ResponseClass.FOREIGN:
+        response_class = dialect.classify_response(self._active, head)
+        if response_class is ResponseClass.FOREIGN:
             self._context.metrics.count(const.METRIC_LATE_RESPONSES)
             if client.reused and await client.async_skip_response():
                 head = await client.async_head(timeout)
-                finding = dialect.classify_response(self._active, head)
-        return head, finding
+                response_class = dialect.classify_response(self._active, head)
+        return head, response_class
 
     async def _async_finish_relay(self, verdict: RelayResult | Retry) -> Verdict:
         if isinstance(verdict, RelayResult):
@@ -291,8 +294,8 @@
     def _first_byte_timeout(self) -> float:
         """Return the timeout for the head of a response.
 
-        For a request that may be repeated it is shorter than the time until the
-        deadline, so that enough time remains for another upstream.
+        For a request that may be repeated it is also bounded by _repeat_timeout, so
+        that time remains for another upstream before the deadline.
         """
         identified = self._active.prepared.identified
         left = identified.deadline - self._context.clock.now()
@@ -315,8 +318,8 @@
         times = self._context.response_times
         if route.streams or times is None:
             return longest
-        patience = times.attempt_timeout(self._active.pool, route.objective)
-        return longest if patience is None else min(patience, longest)
+        timeout = times.attempt_timeout(self._active.pool, route.objective)
+        return longest if timeout is None else min(timeout, longest)
 
     async def _async_handle_lost_response(
         self, error: IncompleteResponseError
@@ -332,8 +335,8 @@
         if self._can_repeat() and not late:
             await self._async_cancel_in_background()
             return Retry(active.upstream, LOST_RESPONSE, ran=True)
-        own_stream = active.prepared.estimate.streamed and active.route is None
-        if own_stream and not late:
+        native_stream = active.prepared.estimate.streamed and active.route is None
+        if native_stream and not late:
             relayed = await self._async_resume_from_start()
             if relayed is not None:
                 if not relayed.whole:
--- a/bitterntiller/components/entry/budget.py
+++ b/bitterntiller/components/entry/budget.py
@@ -41,8 +41,8 @@
         """Return the number of occupied bytes up to which a tier is admitted."""
         if ranks < 2:
             return self._limits.waiting_bytes
-        kept = self._limits.reserved_fraction * rank_index / (ranks - 1)
-        return self._limits.waiting_bytes * (1 - kept)
+        reserved = self._limits.reserved_fraction * rank_index / (ranks - 1)
+        return self._limits.waiting_bytes * (1 - reserved)
 
     def shrink(self, size: int, used: int) -> int:
         """Release what reserve() took beyond the used size of a body; return that size.
--- a/bitterntiller/components/entry/coordinator.py
+++ b/bitterntiller/components/entry/coordinator.py
@@ -58,8 +58,8 @@
         for the hosts to be ready before applying the first one. Until then requests are
         refused as not run.
         """
-        taking = not (self.leaving or self.pipeline.draining)
-        return taking and self._context.lease.valid()
+        accepting = not (self.leaving or self.pipeline.draining)
+        return accepting and self._context.lease.valid()
 
     def configured(self) -> bool:
         """Return whether the host accepts new requests and has a configuration."""
@@ -71,10 +71,10 @@
 
     async def async_monitor_owners(self) -> None:
         """Monitor the lease and the owners of pools in use, until cancelled."""
-        began = curio.Event()
-        self.registry.add_listener(began.set)
+        request_added = curio.Event()
+        self.registry.add_listener(request_added.set)
         while True:
-            began.clear()
+            request_added.clear()
             await self._async_check_lease()
             for pool in self.registry.pools():
                 await self._async_check_owner(pool)
@@ -82,7 +82,7 @@
                 await curio.sleep(const.OWNER_POLL)
                 continue
             async with curio.ignore_after(const.IDLE_OWNER_POLL):
-                await began.wait()
+                await request_added.wait()
 
     async def async_report_progress(self) -> None:
         """Report the progress of running requests to their owners, until cancelled."""
@@ -156,8 +156,8 @@
     def unfinished(self) -> list[str]:
         """Return the ids of live requests, and a text for each incomplete body."""
         ids = list(self.registry.by_id)
-        taken = sum(self.budget.requests_by_workspace().values())
-        return ids + [BODY_INCOMPLETE] * max(0, taken - len(ids))
+        admitted = sum(self.budget.requests_by_workspace().values())
+        return ids + [BODY_INCOMPLETE] * max(0, admitted - len(ids))
 
     async def async_drain(self) -> list[str]:
         """Refuse new requests and wait for the live ones, up to the shutdown timeout.
--- a/bitterntiller/components/entry/event_logging.py
+++ b/bitterntiller/components/entry/event_logging.py
@@ -42,11 +42,11 @@
 
 
 def log_sending(
-    active: ActiveRequest, grant: GrantReceived, kept: bool, version: str, now: float
+    active: ActiveRequest, grant: GrantReceived, reused: bool, version: str, now: float
 ) -> None:
     """Log that a request is sent.
 
-    kept states whether a kept connection is reused; version is the upstream's.
+    reused states whether a kept connection is used; version is the upstream's.
     """
     identified = active.prepared.identified
     events.emit(
@@ -63,7 +63,7 @@
         waited=round(now - identified.received.arrived, 4),
         left=round(identified.deadline - now, 3),
         grant_left=round(grant.valid_until - now, 3),
-        kept_connection=kept,
+        kept_connection=reused,
         fingerprint=format_fingerprint(active.fingerprint),
         config_version=identified.config_version,
     )
--- a/bitterntiller/components/entry/owner_monitor.py
+++ b/bitterntiller/components/entry/owner_monitor.py
@@ -107,9 +107,9 @@
         unacknowledged = bool(
             self._registry.ended_requests.unacknowledged(process, live, now).request_ids
         )
-        # A counting host admits the share of the quota of the hosts that report to it.
-        # It has to learn soon that a host has switched to another counting host: until
-        # then the two of them could admit the whole quota each.
+        # A counting host admits the fraction of a quota that corresponds to the hosts
+        # that report to it. It has to learn soon that hosts have switched to another
+        # counting host: until then each of the two could admit the whole quota.
         return next_report_at(
             owner.host,
             reported_at,
--- a/bitterntiller/components/entry/pipeline.py
+++ b/bitterntiller/components/entry/pipeline.py
@@ -126,9 +126,11 @@
         if refused is not None:
             await self._async_refuse(exchange, refused, identified, active.request_id)
             return
-        over = await self._admission.async_hold_quota(active)
-        if over is not None:
-            await self._async_refuse(exchange, over, identified, active.request_id)
+        over_quota = await self._admission.async_hold_quota(active)
+        if over_quota is not None:
+            await self._async_refuse(
+                exchange, over_quota, identified, active.request_id
+            )
             return
         await self._registry.async_add(active)
         self.retries.record_request(active.pool)
@@ -215,18 +217,18 @@
         return verdict
 
     def _may_repeat(self, active: ActiveRequest) -> bool:
-        room = self.retries.has_retry_left(active.pool)
-        return room and self._admission.has_quota_for_repeat(active)
+        has_retry = self.retries.has_retry_left(active.pool)
+        return has_retry and self._admission.has_quota_for_repeat(active)
 
     async def _async_reserve_repeat(self, active: ActiveRequest) -> bool:
         """Reserve quota and retry budget for another attempt; False without either."""
-        held = await self._admission.async_hold_repeat(active)
-        return held and self.retries.spend(active.pool)
+        has_quota = await self._admission.async_hold_repeat(active)
+        return has_quota and self.retries.spend(active.pool)
 
     async def _async_refuse_retry(
         self, active: ActiveRequest, grant: GrantReceived, verdict: Retry
     ) -> Ending:
-        """Return the grant and the ending of a request that may not be retried."""
+        """Return the grant to its owner; return the ending that refuses a retry."""
         self._context.metrics.count(const.METRIC_RETRIES_REFUSED)
         await self._registry.async_return_grant(
             active.request_id, grant, verdict.reason, False
--- a/bitterntiller/components/entry/quota.py
+++ b/bitterntiller/components/entry/quota.py
@@ -72,7 +72,7 @@
     """The quota left to all hosts at the time at, and the part lent to this host.
 
     left is the unused amount of the window, and paced the content of the quota's token
-    bucket.
+    bucket, each minus what is set aside.
     """
 
     left: float
@@ -110,7 +110,7 @@
         self._sent_by_workspace: dict[str, deque[_SentUsage]] = {}
         self._settled: deque[_SettledReservation] = deque()
         self._holds: set[QuotaHold] = set()
-        self._asked_at_by_workspace: dict[str, float] = {}
+        self._requested_at_by_workspace: dict[str, float] = {}
         self._acknowledged = AcknowledgedPositions()
 
     def number(self) -> int:
@@ -120,12 +120,12 @@
 
     def hold_lent(self, workspace: Workspace, amount: int) -> QuotaHold | None:
         """Hold an amount of the lent quota; return None if less is left of it."""
-        self._asked_at_by_workspace[workspace.name] = self._clock.now()
+        self._requested_at_by_workspace[workspace.name] = self._clock.now()
         level = self._level_by_workspace.get(workspace.name)
         if level is None or amount > level.lent:
             return None
-        left = level._replace(lent=level.lent - amount)
-        self._level_by_workspace[workspace.name] = left
+        reduced = level._replace(lent=level.lent - amount)
+        self._level_by_workspace[workspace.name] = reduced
         # Holds are kept in a set, so each one needs a unique number.
         hold = QuotaHold(workspace.name, amount, "", self.number())
         self._holds.add(hold)
@@ -144,7 +144,10 @@
         self._settle(ledger, number)
 
     def has_room_for_repeat(self, workspace: Workspace, amount: int) -> bool:
-        """Return whether the last known level allows one more run of a request."""
+        """Return whether the last known level allows one more run of a request.
+
+        A repeat may exceed the quota by RETRY_OVERDRAFT_FRACTION of its limit.
+        """
         quota = workspace.quota
         level = self._level_by_workspace.get(workspace.name)
         if quota is None or level is None:
@@ -222,11 +225,11 @@
     def _active_workspaces(self) -> set[str]:
         """Return the workspaces in use in the last window; drop the others' levels."""
         oldest = self._clock.now() - self._window.seconds
-        asked = self._asked_at_by_workspace
-        for name in [name for name, at in asked.items() if at < oldest]:
-            del asked[name]
+        requested_at = self._requested_at_by_workspace
+        for name in [name for name, at in requested_at.items() if at < oldest]:
+            del requested_at[name]
             self._level_by_workspace.pop(name, None)
-        return {*asked, *self._sent_by_workspace}
+        return {*requested_at, *self._sent_by_workspace}
 
     def _unreported_usage(
         self, name: str, upto: int, now: float
@@ -246,8 +249,8 @@
     def record_acknowledged(self, ledger: str, report: UnacknowledgedUse) -> None:
         """Record that a ledger has acknowledged a report.
 
-        After a lost reply the usage is reported and counted again, which refuses
-        requests but never exceeds the quota.
+        After a lost reply the usage is reported and counted again. This may refuse
+        requests, but never exceeds the quota.
         """
         self._acknowledged.record(ledger, report.upto)
 
--- a/bitterntiller/components/entry/quota_client.py
+++ b/bitterntiller/components/entry/quota_client.py
@@ -137,8 +137,9 @@
     async def _async_hold_at_counting_host(
         self, request: QuotaRequest, repeat: bool
     ) -> QuotaVerdict:
-        """Call the counting host until one has decided, for at most FAILOVER_SECONDS.
+        """Call the counting host until one has decided.
 
+        Give up after FAILOVER_SECONDS or at the deadline, when the last call has ended.
         No request is admitted without a counting host: each entry host would admit as
         much as is left to all of them together.
         """
@@ -146,7 +147,7 @@
         self.pending_calls += 1
         try:
             while True:
-                verdict = await self._async_ask(request, repeat)
+                verdict = await self._async_call_counting_host(request, repeat)
                 if verdict is not None:
                     return verdict
                 if self._clock.now() >= until:
@@ -155,7 +156,7 @@
         finally:
             self.pending_calls -= 1
 
-    async def _async_ask(
+    async def _async_call_counting_host(
         self, request: QuotaRequest, repeat: bool
     ) -> QuotaVerdict | None:
         """Return the counting host's verdict, None if it gave none."""
@@ -163,11 +164,11 @@
         if counting_host is None:
             return None
         number = self._account.number()
-        patience = 0.0 if repeat else self._max_queue_wait(request)
-        message = self._message(request, number, patience, repeat)
+        max_wait = 0.0 if repeat else self._max_queue_wait(request)
+        message = self._message(request, number, max_wait, repeat)
         try:
             reply = await self._links.async_call(
-                counting_host.address, message, patience + REPLY_TIMEOUT
+                counting_host.address, message, max_wait + REPLY_TIMEOUT
             )
         except LinkError:
             known = self._counting_hosts.incarnation(counting_host.host)
@@ -213,7 +214,7 @@
         return min(MAX_QUEUE_SECONDS, max(0.0, left))
 
     def _message(
-        self, request: QuotaRequest, number: int, patience: float, repeat: bool
+        self, request: QuotaRequest, number: int, max_wait: float, repeat: bool
     ) -> messages.QuotaAsk:
         left = max(0.0, request.deadline - self._clock.now())
         return messages.QuotaAsk(
@@ -221,7 +222,7 @@
             workspace=request.workspace.name,
             amount=request.amount,
             entry_host=self._host,
-            patience_ms=int(patience * 1000),
+            patience_ms=int(max_wait * 1000),
             latest_retry_ms=int(LATEST_RETRY_FRACTION * left * 1000),
             retry_fingerprint=request.retry_fingerprint,
             repeat=repeat,
--- a/bitterntiller/components/entry/registration.py
+++ b/bitterntiller/components/entry/registration.py
@@ -28,13 +28,13 @@
 ) -> GrantReceived | Ending:
     """Return the owner's grant, or the ending if the request is refused or expires."""
     deadline = active.prepared.identified.deadline
-    begun = context.clock.now()
+    started_at = context.clock.now()
     while True:
         now = context.clock.now()
         if now >= deadline:
             await async_cancel_registration(active, context)
             return _refused_not_run(Reason.TOO_LATE, const.DEFAULT_RETRY_AFTER)
-        if active.owner is None and now - begun > const.OWNER_WAIT:
+        if active.owner is None and now - started_at > const.OWNER_WAIT:
             return _refused_not_run(Reason.NO_OWNER, const.DEFAULT_RETRY_AFTER)
         await _async_register(active, context, now)
         event = await _async_event(active, min(deadline - now, _event_timeout(active)))
--- a/bitterntiller/components/entry/relay.py
+++ b/bitterntiller/components/entry/relay.py
@@ -149,7 +149,7 @@
         routed = self._active.route is not None
         stream = self._active.stream
         if stream is not None:
-            # The upstream sends the event at which the stream broke off again, whole.
+            # The upstream sends the incomplete last event again from its beginning.
             stream.begin_resume()
         else:
             stream = EventStream(ends_with_response=routed)
--- a/bitterntiller/components/entry/relay_headers.py
+++ b/bitterntiller/components/entry/relay_headers.py
@@ -18,8 +18,8 @@
     """Return the end-to-end headers of a response.
 
     A Content-Length is dropped if the body is chunked, where it has no meaning, and for
-    event streams, where it may count bytes after the end marker. Otherwise a complete
-    response would be truncated.
+    event streams, where it may count bytes after the end marker. If it were forwarded,
+    a complete response would be truncated.
     """
     dropped = const.HOP_HEADERS - {b"content-length"}
     dropped = dropped | _named_by_connection(head.headers)
--- a/bitterntiller/components/entry/send_checks.py
+++ b/bitterntiller/components/entry/send_checks.py
@@ -42,7 +42,7 @@
 
     An owner that is partitioned from control grants by its last list of upstreams until
     its lease expires. Requests would reach upstreams seconds after control has
-    confirmed that they get no more. This host may have a newer list.
+    confirmed to these that they get no more. This host may have a newer list.
     """
     if upstreams is None:
         return None
--- a/bitterntiller/components/rollouts/canary_analysis.py
+++ b/bitterntiller/components/rollouts/canary_analysis.py
@@ -106,7 +106,7 @@
         return 0.0
     misses = observed.trials - observed.hits
     log_null = observed.hits * math.log(expected) + misses * math.log(1 - expected)
-    points = [expected + (1 - expected) * part for part in _MIXTURE_POINTS]
+    points = [expected + (1 - expected) * fraction for fraction in _MIXTURE_POINTS]
     likelihoods = [
         observed.hits * math.log(point) + misses * math.log(1 - point) - log_null
         for point in points
@@ -248,7 +248,10 @@
 def _trimmed_sum(
     by_upstream: Mapping[str, Proportion], trim_fraction: float
 ) -> Proportion:
-    """Sum up the upstreams, without those with the highest rates."""
+    """Return the sum over the upstreams without those with the highest rates.
+
+    With fewer than MIN_UPSTREAMS_TO_TRIM upstreams, none are left out.
+    """
     proportions = [
         proportion for proportion in by_upstream.values() if proportion.trials
     ]
--- a/bitterntiller/components/rollouts/diagnostics.py
+++ b/bitterntiller/components/rollouts/diagnostics.py
@@ -23,10 +23,10 @@
 
 
 def describe_rollout(rollout: Rollout, bounds: RolloutBounds) -> dict[str, Any]:
-    """Return a rollout's state, its exposure and the strongest evidence."""
+    """Return a rollout's state, its exposure and the evidence against it."""
     counts_by_cell = rollout.counts_by_cell()
     answered = count_responses(counts_by_cell)
-    worst = find_strongest(counts_by_cell)
+    strongest = find_strongest(counts_by_cell)
     counts_by_route: dict[str, dict[str, Counts]] = {}
     for cell, counts in counts_by_cell.items():
         sides = counts_by_route.setdefault(cell.route, {})
@@ -44,7 +44,7 @@
         "bound": int(bounds.fraction * rollout.reached + bounds.tolerance),
         "answers": answered.trials,
         "failed": answered.hits,
-        "worst": worst.describe() if worst is not None else "",
+        "worst": strongest.describe() if strongest is not None else "",
         "counts_by_route": {
             route: {side: counts._asdict() for side, counts in sides.items()}
             for route, sides in counts_by_route.items()
--- a/bitterntiller/components/rollouts/progression.py
+++ b/bitterntiller/components/rollouts/progression.py
@@ -49,7 +49,8 @@
 limit."""
 
 BURST_FACTOR = 1.3
-"""Request rate assumed between completion and time limit, in mean request rates."""
+"""Request rate assumed between completion and time limit, as a multiple of the mean
+rate."""
 
 MIN_RESPONSES = 12
 """Responses of the candidate version without which it is reverted."""
--- a/bitterntiller/components/rollouts/reporter.py
+++ b/bitterntiller/components/rollouts/reporter.py
@@ -85,7 +85,8 @@
             await curio.sleep(REPORT_PERIOD)
             for pool in in_rollout:
                 trial = pool.rollout.trial
-                # Where entry hosts pick owners themselves, any host may own any pool.
+                # Skip trials without requests: with owners that entry hosts derive, any
+                # host may own any pool.
                 if trial is not None and trial.reached:
                     await self.async_report(pool, trial)
 
--- a/bitterntiller/components/rollouts/state.py
+++ b/bitterntiller/components/rollouts/state.py
@@ -63,7 +63,10 @@
         return sum(totals.exposed for totals in self.totals_by_owner.values())
 
     def old_running(self, now_ms: int) -> int | None:
-        """Return the requests on the old version, None if not reported lately."""
+        """Return how many requests run on the old version, None if not known.
+
+        Counts older than OLD_RUNNING_MAX_AGE are ignored.
+        """
         oldest = now_ms - OLD_RUNNING_MAX_AGE * 1000
         reported = [
             item for item in self.totals_by_owner.values() if item.told_ms >= oldest
