--- a/bitterntiller/components/replication/coordinator.py
+++ b/bitterntiller/components/replication/coordinator.py
@@ -278,7 +278,7 @@
 
     async def _async_retire(self, why: str) -> None:
         """Restart under a new identity, as a learner with an empty log."""
-        logging.warning("retiring replica %s: %s", self._replica.state.replica, why)
+        logging.warning("replica %s is retired: %s", self._replica.state.replica, why)
         self._runtime.metrics.count("replication.retired")
         await self._writer.async_retire(self._reset_replica)
         await self._waiters.async_fail_all()
