--- a/bitterntiller/components/entry/owner_messages.py
+++ b/bitterntiller/components/entry/owner_messages.py
@@ -81,7 +81,10 @@
 def returned_message(
     request_id: str, grant: GrantReceived, reason: str, waiting: bool
 ) -> messages.Returned:
-    """Return the message that returns a grant under which nothing has run."""
+    """Return the message that returns a grant.
+
+    With the reasons failed and lost-answer, the request may have run under it.
+    """
     return messages.Returned(
         request_id=request_id,
         pool=grant.pool,
--- a/bitterntiller/protocol/messages.thrift
+++ b/bitterntiller/protocol/messages.thrift
@@ -125,12 +125,17 @@
     10: optional Load load,              // load reported in the upstream's response
 }
 
-/* A grant that was not used, so the request did not run. */
+/*
+ * A grant that the entry host returns, unused or after an attempt whose response it does
+ * not relay. With the reasons failed and lost-answer, the request may have run.
+ */
 struct Returned {
     1: required string request_id,
     2: required string pool,
     3: required string upstream,
-    4: required string reason,           // expired, refused-connection, not-admitted, lease
+    4: required string reason,           // expired, refused-connection, not-admitted, failed,
+                                         // lost-answer, upstream-left, version-withdrawn, or
+                                         // why it is refused without a run (as no-lease)
     5: required bool still_waiting,
 }
 
