--- a/bitterntiller/components/dispatch/models.py
+++ b/bitterntiller/components/dispatch/models.py
@@ -223,9 +223,10 @@
     ) -> list[Decision]:
         """Release the upstream of a grant that the entry host returned.
 
-        reason says why: expired, lease, refused-connection, not-admitted, failed,
-        lost-answer, upstream-left or version-withdrawn. If waiting is true, the request
-        is queued again at its old position.
+        reason says why: expired, refused-connection, not-admitted, failed, lost-answer,
+        upstream-left, version-withdrawn, or the Reason for which the request is refused
+        without a run (such as no-lease). If waiting is true, the request is queued
+        again at its old position.
         """
         ...
 
--- a/tests/components/dispatch/test_idle_cost.py
+++ b/tests/components/dispatch/test_idle_cost.py
@@ -21,14 +21,13 @@
 from tests.components.entry.fakes import FakeLease
 
 HOSTS = 300
-MOST_REPORTS = 1.0
-"""Maximum reports per second of an idle pair of entry host and owner: a tenth of the
-ten that each pair sent before, whatever the load."""
+MAX_REPORTS = 1.0
+"""Maximum reports per second of an idle pair of entry host and owner: a tenth of a
+constant rate of ten per second that doesn't depend on the load."""
 
-MOST_UNITS = 0.23
+MAX_UNITS = 0.23
 """Maximum processor time per second that an owner spends on the reports of 300 idle
-hosts, in units of _unit(): a tenth of the cost of ten reports per second. Measured: 2.1
-to 2.4 with ten per second, as before, and 0.11 to 0.12 now."""
+hosts, in units of _unit(): a tenth of the cost of ten reports per second from each."""
 
 
 class Registered:
@@ -149,5 +148,5 @@
         return (time.process_time() - begun) / 10
 
     units = curio.run(async_main) * reports_a_second() / min(_unit() for _ in range(5))
-    assert reports_a_second() <= MOST_REPORTS
-    assert units <= MOST_UNITS
+    assert reports_a_second() <= MAX_REPORTS
+    assert units <= MAX_UNITS
--- a/tests/components/dispatch/test_isolation.py
+++ b/tests/components/dispatch/test_isolation.py
@@ -17,7 +17,7 @@
 
 NOW = 1000.0
 SLOTS = 4
-MOST_CRASHES = const.QUARANTINE_THRESHOLD + 1
+MAX_CRASHES = const.QUARANTINE_THRESHOLD + 1
 """Maximum number of engines that one request crashes in a minute: those up to its first
 quarantine and one after it."""
 
@@ -232,7 +232,7 @@
         simulation.rng.shuffle(callers)
         waiting = simulation.run_round(callers)
     assert simulation.quarantined_long == {Caller(POISON, True)}
-    assert simulation.crashes_by_culprit[POISON] == MOST_CRASHES
+    assert simulation.crashes_by_culprit[POISON] == MAX_CRASHES
     assert all(caller.crashes for caller in waiting)
 
 
@@ -258,7 +258,7 @@
         simulation.rng.shuffle(callers)
         waiting = simulation.run_round(callers)
     assert all(
-        simulation.crashes_by_culprit[item.fingerprint] <= MOST_CRASHES
+        simulation.crashes_by_culprit[item.fingerprint] <= MAX_CRASHES
         for item in culprits
     )
     assert simulation.quarantined_long == set(culprits)
